--- a/Makefile
+++ b/Makefile
@@ -10,6 +10,7 @@
 	touch $@
 
 lint: build
+	.venv/bin/ruff format --check calicohitch tests example benchmarks
 	.venv/bin/ruff check calicohitch tests example benchmarks
 	.venv/bin/mypy
 
--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -34,8 +34,10 @@
         self.discovery = self.endpoint = 0
 
     async def run(self) -> None:
-        servers = [await asyncio.start_server(front, "127.0.0.1", 0, backlog=1024)
-                   for front in (self._discovery, self._endpoint)]
+        servers = [
+            await asyncio.start_server(front, "127.0.0.1", 0, backlog=1024)
+            for front in (self._discovery, self._endpoint)
+        ]
         self.discovery, self.endpoint = (server.sockets[0].getsockname()[1] for server in servers)
 
     async def _read(self, reader: asyncio.StreamReader) -> bytes:
@@ -57,9 +59,24 @@
             writer.close()
 
     async def _discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        told = json.dumps({"revision": 1, "complete": True, "members": [
-            {"id": "s-1", "host_port": f"127.0.0.1:{self.endpoint}", "locality": "a", "flavor": "x", "cell": 7,
-             "phase": "Ready", "size": 900.0, "up_since_ms": 0}]}).encode()
+        told = json.dumps(
+            {
+                "revision": 1,
+                "complete": True,
+                "members": [
+                    {
+                        "id": "s-1",
+                        "host_port": f"127.0.0.1:{self.endpoint}",
+                        "locality": "a",
+                        "flavor": "x",
+                        "cell": 7,
+                        "phase": "Ready",
+                        "size": 900.0,
+                        "up_since_ms": 0,
+                    }
+                ],
+            }
+        ).encode()
         try:
             while True:
                 head = await self._read(reader)
@@ -92,8 +109,10 @@
                 reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
             assert reader
             sent = time.monotonic()
-            writer.write(b"POST /score-updates HTTP/1.1\r\nHost: x\r\nReq-Id: m%d\r\nReq-Deadline-Ms: 5000\r\n"
-                         b"Envelope: dest=7\r\nContent-Length: 4\r\n\r\nbody" % n)
+            writer.write(
+                b"POST /score-updates HTTP/1.1\r\nHost: x\r\nReq-Id: m%d\r\nReq-Deadline-Ms: 5000\r\n"
+                b"Envelope: dest=7\r\nContent-Length: 4\r\n\r\nbody" % n
+            )
             try:
                 head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
             except (TimeoutError, asyncio.IncompleteReadError, ConnectionError):
--- a/benchmarks/endpoints.py
+++ b/benchmarks/endpoints.py
@@ -45,11 +45,28 @@
     """One relay's knowledge of so many endpoints."""
 
     def __init__(self, endpoints: int, folder: Path) -> None:
-        config = parse({"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "state": str(folder),
-                        "settings": SETTINGS})
+        config = parse(
+            {
+                "name": "n0",
+                "listen": "127.0.0.1:1",
+                "discovery": "127.0.0.1:2",
+                "state": str(folder),
+                "settings": SETTINGS,
+            }
+        )
         self.members = [
-            {"id": f"s-{n:08x}", "host_port": f"127.0.{n // 250}.{n % 250}:8080", "locality": "west", "flavor": "pubs",
-             "cell": n // A_DESTINATION, "phase": "Ready", "size": 2.0, "up_since_ms": 0} for n in range(endpoints)]
+            {
+                "id": f"s-{n:08x}",
+                "host_port": f"127.0.{n // 250}.{n % 250}:8080",
+                "locality": "west",
+                "flavor": "pubs",
+                "cell": n // A_DESTINATION,
+                "phase": "Ready",
+                "size": 2.0,
+                "up_since_ms": 0,
+            }
+            for n in range(endpoints)
+        ]
         self.names, self.settings, self.revision = config.names, config.settings, 1
         self.memory = Memory(folder, 1, config.names.classes)
         self.anew()
@@ -81,8 +98,12 @@
         self.memory.keep(1e12 + self.revision, self.sender.known(), lambda _number: "", "d", self.revision, members)
 
     def measured(self) -> dict[str, float]:
-        return {"the first whole list": least_ms(self.first), "the whole list again": least_ms(self.whole),
-                "one line changed": least_ms(self.one_line, 40), "what is known stored": least_ms(self.keep)}
+        return {
+            "the first whole list": least_ms(self.first),
+            "the whole list again": least_ms(self.whole),
+            "one line changed": least_ms(self.one_line, 40),
+            "what is known stored": least_ms(self.keep),
+        }
 
 
 def main() -> None:
--- a/benchmarks/grpc_calls.py
+++ b/benchmarks/grpc_calls.py
@@ -24,7 +24,7 @@
 from tracing import load
 
 # An endpoint on grpcio's asyncio server: echoes; "flood:N" streams N messages of 64 KiB. Its port is printed.
-ENDPOINT = '''
+ENDPOINT = """
 import asyncio, grpc, grpc.aio
 class All(grpc.GenericRpcHandler):
     def service(self, details):
@@ -43,10 +43,10 @@
     await server.start()
     await server.wait_for_termination()
 asyncio.run(main())
-'''
+"""
 
 # The bare pass-through: a few lines of grpcio, without any of the relay's rules. argv: the endpoint's port.
-BARE = '''
+BARE = """
 import asyncio, sys, grpc, grpc.aio
 async def main():
     channel = grpc.aio.insecure_channel("127.0.0.1:" + sys.argv[1])
@@ -62,7 +62,7 @@
     await server.start()
     await server.wait_for_termination()
 asyncio.run(main())
-'''
+"""
 
 
 class Script:
@@ -86,8 +86,10 @@
 
     def __init__(self, endpoint: int, folder: Path) -> None:
         self.front = free_port()
-        operator = (f'grpc listen="127.0.0.1:{self.front}" {{\nroute "b.S" "Post" class="score-updates" dest=9\n'
-                    'route "b.S" "Watch" class="entry-orders" dest=9 requests="many"\nendpoints id="g"\n}\n')
+        operator = (
+            f'grpc listen="127.0.0.1:{self.front}" {{\nroute "b.S" "Post" class="score-updates" dest=9\n'
+            'route "b.S" "Watch" class="entry-orders" dest=9 requests="many"\nendpoints id="g"\n}\n'
+        )
         self.platform = Platform(grpc_port=endpoint)
         self.relay = RelayProcess(self.platform, folder, operator)
 
@@ -130,8 +132,10 @@
                 asyncio.run(load(http.port, count, per_s, 7))
                 time.sleep(0.5)
                 found["HTTP/1.1"].append((http.cpu_s() - before) * 1e3 / count)
-                sides: list[tuple[str, int, Any]] = [("gRPC", through.front, through.relay),
-                                                     ("bare grpcio", bare.port, bare)]
+                sides: list[tuple[str, int, Any]] = [
+                    ("gRPC", through.front, through.relay),
+                    ("bare grpcio", bare.port, bare),
+                ]
                 for name, port, process in sides:
                     asyncio.run(calls(port, 100, 100))
                     before = process.cpu_s()
@@ -144,8 +148,10 @@
                     party.close()
     for name, values in found.items():
         rate = f", {statistics.median(rates[name]):.0f} calls a second flat out" if name in rates else ""
-        print(f"{name}: {statistics.median(values):.2f} ms CPU a message "
-              f"({min(values):.2f} to {max(values):.2f}){rate}", flush=True)
+        print(
+            f"{name}: {statistics.median(values):.2f} ms CPU a message ({min(values):.2f} to {max(values):.2f}){rate}",
+            flush=True,
+        )
     for other in ("HTTP/1.1", "bare grpcio"):
         ratios = [a / b for a, b in zip(found["gRPC"], found[other], strict=True)]
         print(f"gRPC / {other}: {spread(ratios)}", flush=True)
@@ -175,12 +181,15 @@
     endpoint = Script(ENDPOINT)
 
     async def hold(port: int, relay: RelayProcess) -> tuple[float, float]:
-        channels = [grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=(("grpc.use_local_subchannel_pool", 1),))
-                    for _ in range(streams // 100)]
+        channels = [
+            grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=(("grpc.use_local_subchannel_pool", 1),))
+            for _ in range(streams // 100)
+        ]
         before, open_calls = relay.rss_mb(), []
         for n in range(streams):
-            call = channels[n % len(channels)].stream_stream("/b.S/Watch")(timeout=20,
-                metadata=(("idempotency-key", f"k{n}"),))
+            call = channels[n % len(channels)].stream_stream("/b.S/Watch")(
+                timeout=20, metadata=(("idempotency-key", f"k{n}"),)
+            )
             await call.write(b"flood:64")  # 4 MiB a stream, which nobody reads
             open_calls.append(call)
         await asyncio.sleep(6)
@@ -198,8 +207,10 @@
         finally:
             through.close()
             endpoint.close()
-    print(f"{streams} open streams that nobody reads: {before:.1f} MB before, {after:.1f} MB with them, "
-          f"{(after - before) * 1024 / streams:.0f} KiB a stream")
+    print(
+        f"{streams} open streams that nobody reads: {before:.1f} MB before, {after:.1f} MB with them, "
+        f"{(after - before) * 1024 / streams:.0f} KiB a stream"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/parties.py
+++ b/benchmarks/parties.py
@@ -18,21 +18,43 @@
 
 SETTINGS: dict[str, Any] = {
     "services": [
-        {"name": "entry-orders", "effect": "keyed", "group": "all", "window": 6_000_000, "on_time": 2_500_000,
-         "hard_limit": 24_000_000, "importance": 1.0, "late_worth": 0.3},
-        {"name": "score-updates", "effect": "safe", "on_time": 1_000_000, "hard_limit": 5_000_000,
-         "importance": 2.0, "late_worth": 0.1}],
-    "caps": {"open_cap": 3_000, "send_cap": 8, "conn_idle": 10_000_000, "connect_timeout": 1_500_000,
-             "retry_after": True, "max_retry_after": 3_000_000},
+        {
+            "name": "entry-orders",
+            "effect": "keyed",
+            "group": "all",
+            "window": 6_000_000,
+            "on_time": 2_500_000,
+            "hard_limit": 24_000_000,
+            "importance": 1.0,
+            "late_worth": 0.3,
+        },
+        {
+            "name": "score-updates",
+            "effect": "safe",
+            "on_time": 1_000_000,
+            "hard_limit": 5_000_000,
+            "importance": 2.0,
+            "late_worth": 0.1,
+        },
+    ],
+    "caps": {
+        "open_cap": 3_000,
+        "send_cap": 8,
+        "conn_idle": 10_000_000,
+        "connect_timeout": 1_500_000,
+        "retry_after": True,
+        "max_retry_after": 3_000_000,
+    },
     "family_info": {"call_slots": 100, "batch_by_kind": [1]},
     "obligations": {"stop_sending_within": 250_000, "ramp_time": 10_000_000, "cold_from": 0.27},
-    "zones": ["a"], "flavors": ["x"],
+    "zones": ["a"],
+    "flavors": ["x"],
 }
 
 # The platform's side runs in a process of its own, so that its CPU is not the relay's. argv: the share of calls
 # that fail at destination 8, and whether destination 7 hangs for 1.6 of every 10 s; its ports are printed. A third
 # argument names the port of a gRPC endpoint, which becomes destination 9.
-PLATFORM = '''
+PLATFORM = """
 import asyncio, json, sys, time
 FAIL, HANGS, GRPC = float(sys.argv[1]), sys.argv[2] == "1", int(sys.argv[3])
 calls = {7: 0, 8: 0}
@@ -86,7 +108,7 @@
     print(*ports, flush=True)
     await asyncio.Event().wait()
 asyncio.run(main())
-'''
+"""
 
 
 def free_port() -> int:
@@ -122,16 +144,24 @@
     ) -> None:
         self.port = free_port()
         folder.mkdir(parents=True, exist_ok=True)
-        told = {"name": "b0", "listen": f"127.0.0.1:{self.port}", "discovery": f"127.0.0.1:{platform.discovery}",
-                "state": str(folder / "state"), "limits": {"sockets": 1024, "disk_mb": 60},
-                "settings": SETTINGS | settings}
+        told = {
+            "name": "b0",
+            "listen": f"127.0.0.1:{self.port}",
+            "discovery": f"127.0.0.1:{platform.discovery}",
+            "state": str(folder / "state"),
+            "limits": {"sockets": 1024, "disk_mb": 60},
+            "settings": SETTINGS | settings,
+        }
         (folder / "config.json").write_text(json.dumps(told))
         command = [sys.executable, "-m", "calicohitch", "serve"]
         if operator:
             (folder / "operator.kdl").write_text(operator)
             command += ["--operator", str(folder / "operator.kdl")]
-        env = os.environ | {"PYTHONPATH": str(root), "NODE_CONFIG": str(folder / "config.json"),
-                            "NODE_LOG_LEVEL": "WARNING"}
+        env = os.environ | {
+            "PYTHONPATH": str(root),
+            "NODE_CONFIG": str(folder / "config.json"),
+            "NODE_LOG_LEVEL": "WARNING",
+        }
         for name in ("NODE_LISTEN", "NODE_STATE", "NODE_DISCOVERY", "NODE_NAME"):
             env.pop(name, None)
         self.process = subprocess.Popen(command, env=env, cwd=root)
--- a/benchmarks/returns.py
+++ b/benchmarks/returns.py
@@ -47,14 +47,25 @@
         report = rig.audit()
         if report.findings:
             print(report.text(), file=sys.stderr)
-        held = {event.id for event in rig.story.of("client")
-                if event.status == 202 and event.relay in names and event.at < killed_at}
-        ends = [event.at for event in rig.story.of("answer", "notice")
-                if event.id in held and event.facts.get("status", 200) == 200 and event.at > back_at]
-        above = sum(event.status in (429, 503) and back_at < event.at < back_at + 2.0
-                    for event in rig.story.of("answer"))
-        return {"backlog out, s": max(ends, default=back_at) - back_at, "refused in 2 s": above,
-                "on time, share": report.on_time / max(1, report.taken), "findings": len(report.findings)}
+        held = {
+            event.id
+            for event in rig.story.of("client")
+            if event.status == 202 and event.relay in names and event.at < killed_at
+        }
+        ends = [
+            event.at
+            for event in rig.story.of("answer", "notice")
+            if event.id in held and event.facts.get("status", 200) == 200 and event.at > back_at
+        ]
+        above = sum(
+            event.status in (429, 503) and back_at < event.at < back_at + 2.0 for event in rig.story.of("answer")
+        )
+        return {
+            "backlog out, s": max(ends, default=back_at) - back_at,
+            "refused in 2 s": above,
+            "on time, share": report.on_time / max(1, report.taken),
+            "findings": len(report.findings),
+        }
 
 
 def start_cpu(root: Path, records: int) -> float:
@@ -98,8 +109,11 @@
         for what in found["now"][0]:
             for name, told in found.items():
                 values = [one[what] for one in told]
-                print(f"{what}: {name} median {statistics.median(values):.2f}, from {min(values):.2f} to "
-                      f"{max(values):.2f}, {len(values)} seeds", flush=True)
+                print(
+                    f"{what}: {name} median {statistics.median(values):.2f}, from {min(values):.2f} to "
+                    f"{max(values):.2f}, {len(values)} seeds",
+                    flush=True,
+                )
         for records in (0, 100_000):
             for name, root in (("now", ROOT), (revision, before)):
                 values = [start_cpu(root, records) for _ in range(3)]
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -54,8 +54,15 @@
         asked = sum(rig.etcd.calls.values()) if isinstance(rig, FleetRig) else 0
         began = time.monotonic()
         await asyncio.gather(*(one(n, "m") for n in range(messages)))
-        held = sum(path.stat().st_size for relay in rig.relays.values()
-                   for path in (relay.state / "copies").glob("*/journal-*.log")) if copies else 0
+        held = (
+            sum(
+                path.stat().st_size
+                for relay in rig.relays.values()
+                for path in (relay.state / "copies").glob("*/journal-*.log")
+            )
+            if copies
+            else 0
+        )
         await asyncio.sleep(0.5)
         seconds = time.monotonic() - began
         used = [cpu_of(pid) - was for pid, was in zip(pids, before, strict=True)]
@@ -64,9 +71,12 @@
         return {
             "CPU a message, ms": used[0] * 1e3 / messages,
             "CPU of all three a message, ms": sum(used) * 1e3 / messages,
-            "202 median, ms": statistics.median(times), "202 p99, ms": times[int(len(times) * 0.99)],
-            "taken on, share": len(times) / messages, "asked of the store a second": asked / seconds,
-            "bytes held at the end": float(held)}
+            "202 median, ms": statistics.median(times),
+            "202 p99, ms": times[int(len(times) * 0.99)],
+            "taken on, share": len(times) / messages,
+            "asked of the store a second": asked / seconds,
+            "bytes held at the end": float(held),
+        }
 
 
 def main(rounds: int = 5, messages: int = 800) -> None:
@@ -77,12 +87,16 @@
     for what in found[0][0]:
         for copies, told in found.items():
             values = [one[what] for one in told]
-            print(f"{what}: {copies} copies {statistics.median(values):.2f} ({min(values):.2f} to {max(values):.2f})",
-                flush=True)
+            print(
+                f"{what}: {copies} copies {statistics.median(values):.2f} ({min(values):.2f} to {max(values):.2f})",
+                flush=True,
+            )
     for copies in (1, 2):
         ratios = [a["CPU a message, ms"] / b["CPU a message, ms"] for a, b in zip(found[copies], found[0], strict=True)]
-        print(f"CPU of the owner with {copies} copies beside none: {statistics.median(ratios):.2f} "
-              f"({min(ratios):.2f} to {max(ratios):.2f}), {rounds} rounds")
+        print(
+            f"CPU of the owner with {copies} copies beside none: {statistics.median(ratios):.2f} "
+            f"({min(ratios):.2f} to {max(ratios):.2f}), {rounds} rounds"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/tracing.py
+++ b/benchmarks/tracing.py
@@ -33,8 +33,10 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for n in numbers:
             await asyncio.sleep(max(0.0, began + n / per_s - time.monotonic()))
-            writer.write(f"POST /score-updates HTTP/1.1\r\nHost: x\r\nReq-Id: {name}{n}\r\nReq-Deadline-Ms: 5000\r\n"
-                         f"Envelope: dest={dest}\r\nContent-Length: 4\r\n\r\nbody".encode())
+            writer.write(
+                f"POST /score-updates HTTP/1.1\r\nHost: x\r\nReq-Id: {name}{n}\r\nReq-Deadline-Ms: 5000\r\n"
+                f"Envelope: dest={dest}\r\nContent-Length: 4\r\n\r\nbody".encode()
+            )
             head = await reader.readuntil(b"\r\n\r\n")
             size = int(head.lower().split(b"content-length:")[1].split(b"\r\n")[0])
             await reader.readexactly(size)
@@ -74,8 +76,10 @@
             before = [relay.cpu_s() for relay in relays]
             asyncio.run(both(ports, count, per_s, "m"))
             time.sleep(1.0)
-            return [((relay.cpu_s() - was) * 1e3 / count, relay.rss_mb(peak=True))
-                    for relay, was in zip(relays, before, strict=True)]
+            return [
+                ((relay.cpu_s() - was) * 1e3 / count, relay.rss_mb(peak=True))
+                for relay, was in zip(relays, before, strict=True)
+            ]
         finally:
             for party in [*relays, *platforms]:
                 party.close()
@@ -92,8 +96,11 @@
             ratios.append(with_traces[0] / off[0])
             off_ms.append(off[0])
             gaps.append(with_traces[1] - off[1])
-        print(f"{title}: CPU on / off {spread(ratios)}; off {statistics.median(off_ms):.2f} ms a message; "
-              f"peak memory on - off {spread(gaps)} MB", flush=True)
+        print(
+            f"{title}: CPU on / off {spread(ratios)}; off {statistics.median(off_ms):.2f} ms a message; "
+            f"peak memory on - off {spread(gaps)} MB",
+            flush=True,
+        )
     listener.close()
 
 
@@ -140,10 +147,16 @@
         counts = next(iter(found.counts.values()))
         told = sum(float(r.told("calicohitch.adjusted_count", 0)) for r in late)
         seen = counts.get("calicohitch.seen.late", 0)
-        causes = ", ".join(f"{k.rpartition('.')[2]} {counts.get(k.replace('seen', 'kept'), 0)} of {n}"
-                           for k, n in counts.items() if ".seen." in k)
-        print(f"{title}: {taken} taken on; late kept {len(late)} of {seen} seen; the kept ones stand for {told:.0f} "
-              f"late ({told / max(1, seen):.3f} of the true rate); kept by cause: {causes}", flush=True)
+        causes = ", ".join(
+            f"{k.rpartition('.')[2]} {counts.get(k.replace('seen', 'kept'), 0)} of {n}"
+            for k, n in counts.items()
+            if ".seen." in k
+        )
+        print(
+            f"{title}: {taken} taken on; late kept {len(late)} of {seen} seen; the kept ones stand for {told:.0f} "
+            f"late ({told / max(1, seen):.3f} of the true rate); kept by cause: {causes}",
+            flush=True,
+        )
 
 
 def spans(rounds: int = 9, count: int = 20_000) -> None:
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -39,8 +39,10 @@
         nonlocal taken
         await asyncio.sleep(max(0.0, began + n / per_s - time.monotonic()))
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        writer.write(f"POST /score-updates HTTP/1.1\r\nHost: x\r\nReq-Id: {name}{n}\r\nReq-Deadline-Ms: 5000\r\n"
-                     f"Envelope: dest=7\r\nContent-Length: 4\r\nConnection: close\r\n\r\nbody".encode())
+        writer.write(
+            f"POST /score-updates HTTP/1.1\r\nHost: x\r\nReq-Id: {name}{n}\r\nReq-Deadline-Ms: 5000\r\n"
+            f"Envelope: dest=7\r\nContent-Length: 4\r\nConnection: close\r\n\r\nbody".encode()
+        )
         taken += (await reader.read()).startswith(b"HTTP/1.1 202")
         writer.close()
 
@@ -64,7 +66,7 @@
 LOADS = {"kept": (1_500, 200.0), "new": (900, 120.0), "silent": (900, 120.0)}  # how many, and how many a second
 
 # A server that reads a request and answers 202: the floor under every way in on asyncio.
-BARE = '''
+BARE = """
 import asyncio
 async def serve(reader, writer):
     try:
@@ -82,7 +84,7 @@
     print(server.sockets[0].getsockname()[1], flush=True)
     await server.serve_forever()
 asyncio.run(main())
-'''
+"""
 
 
 async def loads(ports: list[int], what: str, name: str) -> int:
--- a/calicohitch/commands/clients.py
+++ b/calicohitch/commands/clients.py
@@ -43,8 +43,10 @@
     return sum(int(line.get("accepted", 0)) for line in told), causes, sources
 
 
-@click.command("clients", help="Tell from a relay's JSON log which clients were shed or refused, and why. "
-               "Ends with 1 where none was.")
+@click.command(
+    "clients",
+    help="Tell from a relay's JSON log which clients were shed or refused, and why. Ends with 1 where none was.",
+)
 @click.argument("log", type=click.Path(path_type=Path, dir_okay=False))
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def command(log: Path, as_json: bool) -> None:
--- a/calicohitch/commands/fleet.py
+++ b/calicohitch/commands/fleet.py
@@ -27,8 +27,11 @@
     exit_code = 2
 
 
-@click.group("fleet", help="Who is in the fleet, and whose work is whose. Ends with 0 where all is well, 1 where work "
-             "lies unclaimed or a message is not found, 2 for what cannot be used, 3 where the store does not answer.")
+@click.group(
+    "fleet",
+    help="Who is in the fleet, and whose work is whose. Ends with 0 where all is well, 1 where work "
+    "lies unclaimed or a message is not found, 2 for what cannot be used, 3 where the store does not answer.",
+)
 def command() -> None:
     pass
 
@@ -71,16 +74,35 @@
         parts = []
         for part, holders in enumerate(work.parts):
             claim = roster.claims.get((relay, epoch, part))
-            parts.append({
-                "part": part, "holders": [holder.relay for holder in holders],
-                "alive": [holder.relay for holder in holders if holder.relay in roster.members],
-                "claimed_by": claim.relay if claim else None, "adopted": claim.adopted if claim else False})
-        works.append({"relay": relay, "epoch": epoch, "state": work.state.value, "alive": alive,
-                      "generation": "current" if work.generation == roster.generation else "older", "parts": parts})
+            parts.append(
+                {
+                    "part": part,
+                    "holders": [holder.relay for holder in holders],
+                    "alive": [holder.relay for holder in holders if holder.relay in roster.members],
+                    "claimed_by": claim.relay if claim else None,
+                    "adopted": claim.adopted if claim else False,
+                }
+            )
+        works.append(
+            {
+                "relay": relay,
+                "epoch": epoch,
+                "state": work.state.value,
+                "alive": alive,
+                "generation": "current" if work.generation == roster.generation else "older",
+                "parts": parts,
+            }
+        )
     return {
-        "revision": roster.revision, "generation": roster.generation, "unread": roster.unread,
-        "members": {relay: {"epoch": member.epoch, "zone": member.zone, "copies": member.copies, "life": member.life}
-                    for relay, member in sorted(roster.members.items())}, "works": works}
+        "revision": roster.revision,
+        "generation": roster.generation,
+        "unread": roster.unread,
+        "members": {
+            relay: {"epoch": member.epoch, "zone": member.zone, "copies": member.copies, "life": member.life}
+            for relay, member in sorted(roster.members.items())
+        },
+        "works": works,
+    }
 
 
 def troubles(fleet: dict[str, Any]) -> list[str]:
@@ -92,9 +114,13 @@
             if work["alive"] and not part["alive"]:
                 found.append(f"part {part['part']} of {where} has no living holder: it would be lost with its relay")
             elif not work["alive"] and not part["adopted"]:
-                why = (f"claimed by {part['claimed_by']}, not adopted yet" if part["claimed_by"] else
-                       f"to be claimed by {', '.join(part['alive'])}" if part["alive"] else
-                       "its holders are away as well: it waits for them, or for its relay's folder")
+                why = (
+                    f"claimed by {part['claimed_by']}, not adopted yet"
+                    if part["claimed_by"]
+                    else f"to be claimed by {', '.join(part['alive'])}"
+                    if part["alive"]
+                    else "its holders are away as well: it waits for them, or for its relay's folder"
+                )
                 found.append(f"part {part['part']} of {where} is nobody's now: {why}")
     return found
 
@@ -133,8 +159,11 @@
         for work in works:
             click.echo(f"epoch {work['epoch']}: {State(work['state']).value}, generation {work['generation']}")
             for part in work["parts"]:
-                claim = f", {'adopted' if part['adopted'] else 'claimed'} by {part['claimed_by']}" if (
-                    part["claimed_by"]) else ""
+                claim = (
+                    f", {'adopted' if part['adopted'] else 'claimed'} by {part['claimed_by']}"
+                    if (part["claimed_by"])
+                    else ""
+                )
                 click.echo(f"  part {part['part']}: held by {', '.join(part['holders']) or 'nobody'}{claim}")
     raise SystemExit(0 if member or works else 1)
 
@@ -158,8 +187,10 @@
         facts = trace.told()
         whose = f"a copy of {trace.owner}'s, epoch {trace.epoch}" if trace.owner else "its own"
         state = "over" if trace.closed else f"ends as {trace.end}" if trace.end else "open"
-        click.echo(f"{trace.folder}: {whose}: {state}, {trace.attempts} attempts, {facts['may_have_run']} of them may "
-                   f"have run" + (f"; from {trace.origin}" if trace.origin else ""))
+        click.echo(
+            f"{trace.folder}: {whose}: {state}, {trace.attempts} attempts, {facts['may_have_run']} of them may "
+            f"have run" + (f"; from {trace.origin}" if trace.origin else "")
+        )
     if not found and not as_json:
         click.echo(f"none of these folders tells of {wire_id}")
     raise SystemExit(0 if found else 1)
--- a/calicohitch/commands/options.py
+++ b/calicohitch/commands/options.py
@@ -12,8 +12,12 @@
 from ..config.operator import load as load_operator
 
 operator_option = click.option(
-    "--operator", "operator_path", metavar="FILE", type=click.Path(path_type=Path),
-    help="The operators' file (KDL): what the relay does beside what the platform tells it.")
+    "--operator",
+    "operator_path",
+    metavar="FILE",
+    type=click.Path(path_type=Path),
+    help="The operators' file (KDL): what the relay does beside what the platform tells it.",
+)
 
 
 class Unusable(click.ClickException):
--- a/calicohitch/commands/recovery.py
+++ b/calicohitch/commands/recovery.py
@@ -15,12 +15,19 @@
     exit_code = 2
 
 
-@click.command("recovery", help="Tell from relays' logs how each return went, phase by phase, and how the fleet's did. "
-               "Ends with 1 where no log tells of a return, or one did not come to its end.")
+@click.command(
+    "recovery",
+    help="Tell from relays' logs how each return went, phase by phase, and how the fleet's did. "
+    "Ends with 1 where no log tells of a return, or one did not come to its end.",
+)
 @click.argument("logs", nargs=-1, required=True, type=click.Path(path_type=Path, dir_okay=False))
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
-@click.option("--chart", type=click.Path(path_type=Path, dir_okay=False), metavar="FILE",
-              help="Draw what was restored, fresh, refused and served by second (PNG, SVG, PDF); the extra charts.")
+@click.option(
+    "--chart",
+    type=click.Path(path_type=Path, dir_okay=False),
+    metavar="FILE",
+    help="Draw what was restored, fresh, refused and served by second (PNG, SVG, PDF); the extra charts.",
+)
 def command(logs: tuple[Path, ...], as_json: bool, chart: Path | None) -> None:
     lives: list[Life] = []
     for path in logs:
@@ -56,7 +63,8 @@
     for word in ("median", "worst"):
         cells = "".join(
             f"{whole['phases'][phase][f'{word}_ms']:>10.0f}" if phase in whole["phases"] else f"{'-':>10}"
-            for phase in PHASES)
+            for phase in PHASES
+        )
         click.echo(f"{word:<18}{cells}")
     reached = whole["phases"].get("full", {}).get("reached", 0)
     click.echo(f"{reached} of {whole['returns']} returns came to full service; milliseconds since each process was up")
--- a/calicohitch/commands/serve.py
+++ b/calicohitch/commands/serve.py
@@ -21,7 +21,8 @@
 # click reads an exit code off the class of an exception.
 _ENDED: dict[type[FolderProblem], type[click.ClickException]] = {
     kind: type(kind.__name__, (click.ClickException,), {"exit_code": kind.exit_code})
-    for kind in (FolderProblem, FolderFailing, FolderInUse, FolderLost, FolderNewer, NameTaken, WorkTaken)}
+    for kind in (FolderProblem, FolderFailing, FolderInUse, FolderLost, FolderNewer, NameTaken, WorkTaken)
+}
 
 
 @click.command("serve", help="Run the relay that NODE_CONFIG and the other NODE_ variables describe.")
--- a/calicohitch/commands/traces.py
+++ b/calicohitch/commands/traces.py
@@ -31,8 +31,11 @@
     return function
 
 
-@click.group("traces", help="Look into exported traces: files of OTLP JSON lines, or captured OTLP requests.\n\n"
-    "Exit status: 0 where something was found, 1 where nothing matches, 2 where the files cannot be used.")
+@click.group(
+    "traces",
+    help="Look into exported traces: files of OTLP JSON lines, or captured OTLP requests.\n\n"
+    "Exit status: 0 where something was found, 1 where nothing matches, 2 where the files cannot be used.",
+)
 def command() -> None:
     pass
 
@@ -75,17 +78,26 @@
     if as_json:
         click.echo(json.dumps([_told(message) for message in messages], indent=1))
     elif messages:
-        rows = [[f"{m.root.ms:.0f}", _id(m), str(m.root.told("calicohitch.class")),
-                 str(m.root.told("messaging.destination.name")), str(m.root.told("calicohitch.end")),
-                 str(m.root.told("calicohitch.attempts")),
-                 " ".join(f"{hands} {ms:.0f}" for hands, ms in asking.by_hands(m).items() if ms >= 1)]
-                for m in messages]
+        rows = [
+            [
+                f"{m.root.ms:.0f}",
+                _id(m),
+                str(m.root.told("calicohitch.class")),
+                str(m.root.told("messaging.destination.name")),
+                str(m.root.told("calicohitch.end")),
+                str(m.root.told("calicohitch.attempts")),
+                " ".join(f"{hands} {ms:.0f}" for hands, ms in asking.by_hands(m).items() if ms >= 1),
+            ]
+            for m in messages
+        ]
         click.echo(_table(["ms", "id", "class", "dest", "end", "attempts", "in whose hands, ms"], rows))
     return _status(messages)
 
 
-@command.command("why", help="Where the time of these messages went, and in whose hands, weighted by what each "
-    "kept trace stands for.")
+@command.command(
+    "why",
+    help="Where the time of these messages went, and in whose hands, weighted by what each kept trace stands for.",
+)
 @_FILES
 @_filters
 @_AS_JSON
@@ -95,15 +107,42 @@
     rows, weight = asking.lost_time(messages), sum(message.weight for message in messages)
     total = sum(row.ms for row in rows) or 1.0
     if as_json:
-        told = [{"what": r.what, "hands": r.hands, "share": r.ms / total, "ms": r.ms, "messages": r.messages,
-                 "worst_ms": r.worst_ms, "worst_id": r.worst_id} for r in rows]
-        click.echo(json.dumps({"traces": len(messages), "stands_for": weight, "causes": told,
-                               "counts": found.counts}, indent=1))
+        told = [
+            {
+                "what": r.what,
+                "hands": r.hands,
+                "share": r.ms / total,
+                "ms": r.ms,
+                "messages": r.messages,
+                "worst_ms": r.worst_ms,
+                "worst_id": r.worst_id,
+            }
+            for r in rows
+        ]
+        click.echo(
+            json.dumps(
+                {"traces": len(messages), "stands_for": weight, "causes": told, "counts": found.counts}, indent=1
+            )
+        )
     elif messages:
         click.echo(f"{len(messages)} traces that stand for {weight:.0f} messages")
-        click.echo(_table(["share", "what", "in whose hands", "messages", "mean ms", "worst ms", "worst"],
-            [[f"{r.ms / total:.1%}", r.what, r.hands, f"{r.messages:.0f}", f"{r.ms / r.messages:.0f}",
-              f"{r.worst_ms:.0f}", r.worst_id] for r in rows]))
+        click.echo(
+            _table(
+                ["share", "what", "in whose hands", "messages", "mean ms", "worst ms", "worst"],
+                [
+                    [
+                        f"{r.ms / total:.1%}",
+                        r.what,
+                        r.hands,
+                        f"{r.messages:.0f}",
+                        f"{r.ms / r.messages:.0f}",
+                        f"{r.worst_ms:.0f}",
+                        r.worst_id,
+                    ]
+                    for r in rows
+                ],
+            )
+        )
         for relay, counts in found.counts.items():
             told_counts = ", ".join(f"{name.removeprefix('calicohitch.')} {n}" for name, n in counts.items())
             click.echo(f"{relay or 'a relay'} counted: {told_counts or 'nothing'}")
@@ -123,10 +162,25 @@
 def _told(message: Message) -> dict[str, Any]:
     root = message.root
     return {
-        "trace_id": root.trace_id, "span_id": root.span_id, "relay": root.relay, "id": _id(message), "ms": root.ms,
-        "start_ns": root.start, "attributes": root.attributes, "hands_ms": asking.by_hands(message),
-        "spans": [{"name": s.name, "span_id": s.span_id, "start_ns": s.start, "ms": s.ms, "status": s.message,
-                   "attributes": s.attributes} for s in message.children],
+        "trace_id": root.trace_id,
+        "span_id": root.span_id,
+        "relay": root.relay,
+        "id": _id(message),
+        "ms": root.ms,
+        "start_ns": root.start,
+        "attributes": root.attributes,
+        "hands_ms": asking.by_hands(message),
+        "spans": [
+            {
+                "name": s.name,
+                "span_id": s.span_id,
+                "start_ns": s.start,
+                "ms": s.ms,
+                "status": s.message,
+                "attributes": s.attributes,
+            }
+            for s in message.children
+        ],
     }
 
 
@@ -134,8 +188,10 @@
     widths = [max(len(row[n]) for row in [head, *rows]) for n in range(len(head))]
     lines = []
     for row in [head, *rows]:
-        cells = [cell.rjust(width) if n == 0 else cell.ljust(width)
-                 for n, (cell, width) in enumerate(zip(row, widths, strict=True))]
+        cells = [
+            cell.rjust(width) if n == 0 else cell.ljust(width)
+            for n, (cell, width) in enumerate(zip(row, widths, strict=True))
+        ]
         lines.append("  ".join(cells).rstrip())
     return "\n".join(lines)
 
@@ -155,9 +211,11 @@
         root = part.root
         told = root.told
         late = " late" if told("calicohitch.late", False) else ""
-        lines.append(f"message {_id(part)}  {told('calicohitch.class')} for {told('messaging.destination.name')}"
-                     f"  at {root.relay or 'a relay'}  {told('calicohitch.end')}{late} after {root.ms:.0f} ms"
-                     f"  (wanted within {float(told('calicohitch.aim_ms', 0.0)):.0f})")
+        lines.append(
+            f"message {_id(part)}  {told('calicohitch.class')} for {told('messaging.destination.name')}"
+            f"  at {root.relay or 'a relay'}  {told('calicohitch.end')}{late} after {root.ms:.0f} ms"
+            f"  (wanted within {float(told('calicohitch.aim_ms', 0.0)):.0f})"
+        )
         lines.append(f"trace {root.trace_id}" + (f", linked to {', '.join(root.links)}" if root.links else ""))
         rows = [(root.name, root.start, root.end, "=", "")]
         for span in part.children:
@@ -171,8 +229,9 @@
         spent = {hands: ms for hands, ms in asking.by_hands(part).items() if ms >= 0.5}
         total = max(root.ms, 0.001)
         largest_first = sorted(spent.items(), key=lambda at: -at[1])
-        lines.append("  in whose hands: " + ", ".join(
-            f"{hands} {ms:.0f} ms ({ms / total:.0%})" for hands, ms in largest_first))
+        lines.append(
+            "  in whose hands: " + ", ".join(f"{hands} {ms:.0f} ms ({ms / total:.0%})" for hands, ms in largest_first)
+        )
         lines.append("")
     return "\n".join(lines).rstrip()
 
--- a/calicohitch/config/operator.py
+++ b/calicohitch/config/operator.py
@@ -67,9 +67,14 @@
     clients = root.child("clients")
     back = root.child("recovery")
     fleet = root.child("fleet")
-    operator = Operator(logs, _tracing(node, path.parent) if node else None, _grpc(grpc, classes) if grpc else None,
-        _clients(clients) if clients else None, _recovery(back) if back else RecoverySettings(),
-        _fleet(fleet, classes) if fleet else None)
+    operator = Operator(
+        logs,
+        _tracing(node, path.parent) if node else None,
+        _grpc(grpc, classes) if grpc else None,
+        _clients(clients) if clients else None,
+        _recovery(back) if back else RecoverySettings(),
+        _fleet(fleet, classes) if fleet else None,
+    )
     root.done()
     if problems:
         listed = "".join(f"\n  {problem}" for problem in problems)
@@ -81,7 +86,8 @@
     usual = RecoverySettings()
     settings = RecoverySettings(
         float(node.number("folder-wait-ms", usual.folder_wait_ms, 0, 600_000)),
-        node.text("told-waits", "end", ("end", "outlast")) == "outlast")
+        node.text("told-waits", "end", ("end", "outlast")) == "outlast",
+    )
     node.done()
     return settings
 
@@ -104,7 +110,8 @@
         collector_usual = CollectorSettings(Address("127.0.0.1", 4318))
         address, at = out.parsed("url", out.argument("url"), _collector_url) or (Address("127.0.0.1", 1), "/")
         collector = CollectorSettings(
-            address, at,
+            address,
+            at,
             compression=out.text("compression", collector_usual.compression, ("gzip", "zstd", "none")),
             timeout_ms=float(out.number("timeout-ms", collector_usual.timeout_ms, 10, 60_000)),
             batch_bytes=out.whole("batch-bytes", collector_usual.batch_bytes, 4_096, 4 << 20),
@@ -143,11 +150,18 @@
         dest, dest_key = told.whole("dest", -1, -1), told.text("dest-metadata", "")
         if (dest < 0) == (not dest_key):
             told.complain("it needs either dest=NUMBER or dest-metadata=KEY, and not both")
-        routes.append(Route(
-            service, method, classes.index(name) if name in classes else 0, dest if dest >= 0 else None,
-            dest_key.lower(), told.text("id-metadata", "req-id").lower(),
-            told.text("key-metadata", "idempotency-key").lower(),
-            told.text("requests", "one", ("one", "many")) == "many"))
+        routes.append(
+            Route(
+                service,
+                method,
+                classes.index(name) if name in classes else 0,
+                dest if dest >= 0 else None,
+                dest_key.lower(),
+                told.text("id-metadata", "req-id").lower(),
+                told.text("key-metadata", "idempotency-key").lower(),
+                told.text("requests", "one", ("one", "many")) == "many",
+            )
+        )
         told.done()
     for twice in clashes(tuple(routes)):
         node.complain(f"there are two routes for {twice}; only the last would count")
@@ -156,23 +170,32 @@
     speakers = []
     for told in node.children("endpoints"):
         dest = told.whole("dest", -1, -1)
-        speakers.append(Speaker(told.text("id", ""), told.text("flavor", ""), dest if dest >= 0 else None,
-            told.text("also", "", ("", "http")) == "http"))
+        speakers.append(
+            Speaker(
+                told.text("id", ""),
+                told.text("flavor", ""),
+                dest if dest >= 0 else None,
+                told.text("also", "", ("", "http")) == "http",
+            )
+        )
         if not (speakers[-1].id or speakers[-1].flavor or dest >= 0):
             told.complain("it needs an id, a flavor or a dest: without one every endpoint would be told to speak gRPC")
         told.done()
     if not speakers:
-        node.complain("no endpoint speaks gRPC: add one, as in endpoints flavor=\"...\"")
+        node.complain('no endpoint speaks gRPC: add one, as in endpoints flavor="..."')
     usual = GrpcSettings(Address("127.0.0.1", 0), ())
     settings = GrpcSettings(
-        listen or usual.listen, tuple(routes), tuple(speakers),
+        listen or usual.listen,
+        tuple(routes),
+        tuple(speakers),
         keep=node.whole("keep-bytes", usual.keep, 0, 64 << 20),
         message=node.whole("message-bytes", usual.message, 1, 64 << 20),
         connections=node.whole("connections", usual.connections, 1, 100_000),
         streams=node.whole("streams", usual.streams, 1, 10_000),
         whole_ms=float(node.number("whole-ms", usual.whole_ms, 10, 600_000)),
         quiet_ms=float(node.number("quiet-ms", usual.quiet_ms, 0, 86_400_000)),
-        answer_ms=float(node.number("answer-ms", usual.answer_ms, 100, 600_000)))
+        answer_ms=float(node.number("answer-ms", usual.answer_ms, 100, 600_000)),
+    )
     node.done()
     return settings
 
@@ -205,29 +228,45 @@
         pause = float(lease.number("pause-ms", min(pause, ttl / 5), 0, 60_000))
         grace = float(lease.number("grace-ms", grace, 0, 600_000))
         if 2 * renew + pause > ttl * 0.98:
-            lease.complain(f"two renewals ({renew:g} ms each) and a pause ({pause:g} ms) must fit into the lease of "
-                           f"{ttl:g} ms, or one late answer ends it: shorten renew-ms or lengthen ttl-ms")
+            lease.complain(
+                f"two renewals ({renew:g} ms each) and a pause ({pause:g} ms) must fit into the lease of "
+                f"{ttl:g} ms, or one late answer ends it: shorten renew-ms or lengthen ttl-ms"
+            )
         lease.done()
-    settings = FleetSettings(name, at, here, advertise, zone, ttl_ms=ttl, renew_ms=renew, pause_ms=pause,
-        grace_ms=grace, store_timeout_ms=timeout)
+    settings = FleetSettings(
+        name,
+        at,
+        here,
+        advertise,
+        zone,
+        ttl_ms=ttl,
+        renew_ms=renew,
+        pause_ms=pause,
+        grace_ms=grace,
+        store_timeout_ms=timeout,
+    )
     count = usual.copies
     if copies:
         count = copies.whole("count", usual.copies, 0, 5)
-        settings = replace(settings, parts=copies.whole("parts", usual.parts, 1, 64),
+        settings = replace(
+            settings,
+            parts=copies.whole("parts", usual.parts, 1, 64),
             copy_timeout_ms=float(copies.number("timeout-ms", usual.copy_timeout_ms, 20, 60_000)),
             beat_ms=float(copies.number("beat-ms", usual.beat_ms, 20, 60_000)),
             hold_bytes=int(copies.number("hold-mb", usual.hold_bytes / 1e6, 0.1, 100_000) * 1e6),
-            queue_bytes=int(copies.number("queue-kb", usual.queue_bytes / 1e3, 256, 1e6) * 1e3))
+            queue_bytes=int(copies.number("queue-kb", usual.queue_bytes / 1e3, 256, 1e6) * 1e3),
+        )
         if 3 * settings.beat_ms > ttl:
             copies.complain(f"three beats ({settings.beat_ms:g} ms each) must fit into the lease of {ttl:g} ms")
         copies.done()
     modes = {cls: CopyMode("first" if count else "none", "refuse" if count else "alone") for cls in classes}
     for told in node.children("class"):
         cls = told.argument("the class", among=classes)
-        mode = CopyMode(told.text("copy", "first", ("first", "behind", "none")),
-            told.text("without", "refuse", ("refuse", "alone")))
+        mode = CopyMode(
+            told.text("copy", "first", ("first", "behind", "none")), told.text("without", "refuse", ("refuse", "alone"))
+        )
         if mode.when != "none" and not count:
-            told.complain("it needs copies and none are kept: set copies count=1 or more, or copy=\"none\"")
+            told.complain('it needs copies and none are kept: set copies count=1 or more, or copy="none"')
         modes[cls] = mode
         told.done()
     over = node.child("stop")
@@ -261,16 +300,21 @@
             v4_bits=told.whole("v4-bits", caps.v4_bits, 1, 32),
             v6_bits=told.whole("v6-bits", caps.v6_bits, 1, 128),
             sources=told.whole("table", caps.sources, 16, 1_000_000),
-            trusted=tuple(trusted))
+            trusted=tuple(trusted),
+        )
         told.done()
     if told := node.child("load"):
         limits = LoadLimits(
             target_ms=float(told.number("target-ms", limits.target_ms, 1, 10_000)),
-            too_late_ms=float(told.number("too-late-ms", limits.too_late_ms, 10, 60_000)))
+            too_late_ms=float(told.number("too-late-ms", limits.too_late_ms, 10, 60_000)),
+        )
         told.done()
-    settings = AdmissionSettings(caps, limits,
+    settings = AdmissionSettings(
+        caps,
+        limits,
         backlog=node.whole("backlog", usual.backlog, 1, 65_535),
-        told_every_s=float(node.number("told-every-s", usual.told_every_s, 0.1, 3_600)))
+        told_every_s=float(node.number("told-every-s", usual.told_every_s, 0.1, 3_600)),
+    )
     node.done()
     return settings
 
--- a/calicohitch/config/places.py
+++ b/calicohitch/config/places.py
@@ -48,14 +48,16 @@
     def raw(self, key: str) -> Any:
         return self._told.get(key)
 
-    def number(
-        self, key: str, default: float | None = None, least: float = 0, most: float = math.inf
-    ) -> Any:
+    def number(self, key: str, default: float | None = None, least: float = 0, most: float = math.inf) -> Any:
         """A number within bounds, whole or not as it is told; an integer stays one."""
         must = f"a number from {least:g} to {most:g}" if most < math.inf else f"a number of at least {least:g}"
         value = self._get(key, default, must)
-        if (isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most
-                or not math.isfinite(value)):
+        if (
+            isinstance(value, bool)
+            or not isinstance(value, int | float)
+            or not least <= value <= most
+            or not math.isfinite(value)
+        ):
             raise self._fail(key, must, value)
         return value
 
--- a/calicohitch/config/platform.py
+++ b/calicohitch/config/platform.py
@@ -85,8 +85,7 @@
 
 def _outweighed(told: dict[str, Any], env: Mapping[str, str]) -> Config:
     in_file = {key: told.get(key) for key in _VARIABLES}
-    return replace(parse(told | {key: env.get(_variable(key)) or in_file[key] for key in _VARIABLES}),
-        in_file=in_file)
+    return replace(parse(told | {key: env.get(_variable(key)) or in_file[key] for key in _VARIABLES}), in_file=in_file)
 
 
 def _read(env: Mapping[str, str]) -> dict[str, Any]:
--- a/calicohitch/core/invariants.py
+++ b/calicohitch/core/invariants.py
@@ -37,7 +37,8 @@
         if not held:
             self.violations[invariant] += 1
             logger.bind(event="invariant.violated", invariant=invariant.name, message=message).error(
-                "invariant violated: {} (message {}); the act is not made", invariant.value, message)
+                "invariant violated: {} (message {}); the act is not made", invariant.value, message
+            )
         return held
 
     def may_send(self, message: str, message_class: MessageClass, attempts: Sequence[Attempt], now_ms: float) -> bool:
--- a/calicohitch/core/leases.py
+++ b/calicohitch/core/leases.py
@@ -26,8 +26,15 @@
     clients, one each for notices, discovery and tracing, and calls have the rest."""
     clients, others = sockets // 2, _FIXED + 3 + grpc
     calls = max(1, sockets - clients - others)
-    kept = {Holder.RELAY: _FIXED, Holder.NOTICES: 1, Holder.DISCOVERY: 1, Holder.TRACING: 1, Holder.GRPC: grpc,
-            Holder.CALLS: calls, Holder.CLIENTS: clients}
+    kept = {
+        Holder.RELAY: _FIXED,
+        Holder.NOTICES: 1,
+        Holder.DISCOVERY: 1,
+        Holder.TRACING: 1,
+        Holder.GRPC: grpc,
+        Holder.CALLS: calls,
+        Holder.CLIENTS: clients,
+    }
     leases = Leases(sum(kept.values()), kept)
     leases.held.update({Holder.RELAY: _FIXED, Holder.GRPC: grpc})  # for good
     return leases
--- a/calicohitch/core/signals.py
+++ b/calicohitch/core/signals.py
@@ -52,6 +52,7 @@
     told = Told()
     before = signal.pthread_sigmask(signal.SIG_BLOCK, ())
     with anyio.open_signal_receiver(*HEARD) as signals:
+
         async def listen() -> None:
             async for number in signals:
                 told.heard(number)
--- a/calicohitch/core/system_errors.py
+++ b/calicohitch/core/system_errors.py
@@ -59,17 +59,46 @@
 
 # Of descriptors, memory or ports: only the caller's own machine says these.
 _EXHAUSTED = OUT_OF_DESCRIPTORS | {errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
-_NO_WAY_OUT = frozenset({errno.EAGAIN, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN,
-                         errno.EACCES, errno.EPERM})  # said by connect itself: no port, route or permission here
-_NETWORK = frozenset({errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ENETDOWN, errno.EHOSTDOWN,
-                      errno.ENONET})
+_NO_WAY_OUT = frozenset(
+    {errno.EAGAIN, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN, errno.EACCES, errno.EPERM}
+)  # said by connect itself: no port, route or permission here
+_NETWORK = frozenset(
+    {errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ENETDOWN, errno.EHOSTDOWN, errno.ENONET}
+)
 # accept(2) passes on errors of the connection that it would have given: it is gone, and the next one may be there.
-_GONE_UNACCEPTED = frozenset({errno.ECONNABORTED, errno.ECONNRESET, errno.EPROTO, errno.ENETDOWN, errno.ENOPROTOOPT,
-                              errno.EHOSTDOWN, errno.ENONET, errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH,
-                              errno.EPERM, errno.ETIMEDOUT})
+_GONE_UNACCEPTED = frozenset(
+    {
+        errno.ECONNABORTED,
+        errno.ECONNRESET,
+        errno.EPROTO,
+        errno.ENETDOWN,
+        errno.ENOPROTOOPT,
+        errno.EHOSTDOWN,
+        errno.ENONET,
+        errno.EHOSTUNREACH,
+        errno.EOPNOTSUPP,
+        errno.ENETUNREACH,
+        errno.EPERM,
+        errno.ETIMEDOUT,
+    }
+)
 # Of a file or folder: no waiting mends these.
-_LASTING = frozenset({errno.EROFS, errno.EACCES, errno.EPERM, errno.ENOTDIR, errno.EEXIST, errno.ELOOP,
-                      errno.ENAMETOOLONG, errno.ENOENT, errno.EISDIR, errno.EINVAL, errno.ENODEV, errno.ENXIO})
+_LASTING = frozenset(
+    {
+        errno.EROFS,
+        errno.EACCES,
+        errno.EPERM,
+        errno.ENOTDIR,
+        errno.EEXIST,
+        errno.ELOOP,
+        errno.ENAMETOOLONG,
+        errno.ENOENT,
+        errno.EISDIR,
+        errno.EINVAL,
+        errno.ENODEV,
+        errno.ENXIO,
+    }
+)
 
 _AGAIN = Trouble(Party.MACHINE, Retry.AT_ONCE)
 _SHORTAGE = Trouble(Party.MACHINE, Retry.LATER)
--- a/calicohitch/fleet/etcd_store.py
+++ b/calicohitch/fleet/etcd_store.py
@@ -37,8 +37,13 @@
 
     async def _open(self) -> Any:
         if self._client is None:
-            client = aetcd.Client(self._address.host, self._address.port, timeout=max(1, math.ceil(self._timeout_s)),
-                connect_wait_timeout=_CONNECT_S, options={"grpc.enable_retries": 0})
+            client = aetcd.Client(
+                self._address.host,
+                self._address.port,
+                timeout=max(1, math.ceil(self._timeout_s)),
+                connect_wait_timeout=_CONNECT_S,
+                options={"grpc.enable_retries": 0},
+            )
             await client.connect()
             self._client = client
         return self._client
@@ -64,8 +69,12 @@
         async def ask(client: Any) -> Any:
             made = client.transactions
             compare = [made.mod(one.key.encode()) == one.revision for one in conditions]
-            success = [made.put(op.key.encode(), op.value, op.lease or None) if isinstance(op, Put) else
-                       made.delete(op.key.encode()) for op in ops]
+            success = [
+                made.put(op.key.encode(), op.value, op.lease or None)
+                if isinstance(op, Put)
+                else made.delete(op.key.encode())
+                for op in ops
+            ]
             return await client.transaction(compare=compare, success=success, failure=[])
 
         done, answers = await self._asked(ask)
@@ -110,4 +119,3 @@
             client, self._client = self._client, None
             with anyio.move_on_after(1.0):
                 await client.close()
-
--- a/calicohitch/fleet/membership.py
+++ b/calicohitch/fleet/membership.py
@@ -35,8 +35,15 @@
 class Membership:
     """`now`: the relay's clock in milliseconds, which runs on while others step. `on_passed`: told once, why."""
 
-    def __init__(self, store: Store, tenure: Tenure, proof: Proof, folder: Path, settings: FleetSettings,
-                 now: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        store: Store,
+        tenure: Tenure,
+        proof: Proof,
+        folder: Path,
+        settings: FleetSettings,
+        now: Callable[[], float],
+    ) -> None:
         self.store, self.tenure, self.proof, self.roster = store, tenure, proof, Roster(tenure.keys)
         self._path, self._set, self._now = folder / _FILE, settings, now
         self.lease = 0
@@ -78,8 +85,9 @@
             self.failures += 1
             raise StoreError(str(err)) from err
         if self.failures:
-            logger.bind(event="fleet.store_back").info("the coordination store answers again, after {} failures",
-                self.failures)
+            logger.bind(event="fleet.store_back").info(
+                "the coordination store answers again, after {} failures", self.failures
+            )
         self.failures = 0
         return answer
 
@@ -118,7 +126,10 @@
         before = self.roster.generation
         logger.bind(event="fleet.went_back", before=self.roster.revision, now=seen.revision).error(
             "the coordination store went back from revision {} to {}: what relays that die now had in hand waits for "
-            "their own folders", self.roster.revision, seen.revision)
+            "their own folders",
+            self.roster.revision,
+            seen.revision,
+        )
         self.roster.replace(seen, self._now())
         if self.roster.generation in ("", before):
             await self._generate()
@@ -211,8 +222,12 @@
             mine = [item for item in seen.items if item.lease == self.lease]
             work = self.roster.works.get((self.tenure.relay, self.tenure.epoch))
             stale = work is not None and work.generation != self.roster.generation
-            if seen.revision < asked_at or stale or not mine or not await self._asked(
-                    lambda: self.store.keep(self.lease)):
+            if (
+                seen.revision < asked_at
+                or stale
+                or not mine
+                or not await self._asked(lambda: self.store.keep(self.lease))
+            ):
                 self.proof.expired()
                 await self._again()
                 return
--- a/calicohitch/fleet/memory_store.py
+++ b/calicohitch/fleet/memory_store.py
@@ -68,8 +68,9 @@
 
     def read_now(self, prefix: str) -> Seen:
         self.tick()
-        found = sorted((item for key, item in self._state.items.items() if key.startswith(prefix)),
-            key=lambda item: item.key)
+        found = sorted(
+            (item for key, item in self._state.items.items() if key.startswith(prefix)), key=lambda item: item.key
+        )
         return Seen(tuple(found), self._state.revision)
 
     def grant_now(self, ttl_ms: float) -> int:
--- a/calicohitch/fleet/records.py
+++ b/calicohitch/fleet/records.py
@@ -111,7 +111,7 @@
         """Kind, relay, epoch and part, as far as the key has them; () where it is none of ours."""
         if not key.startswith(self.prefix):
             return ()
-        kind, *rest = key[len(self.prefix):].split("/")
+        kind, *rest = key[len(self.prefix) :].split("/")
         length = {"generation": 0, "epoch": 1, "member": 1, "work": 2, "claim": 3}.get(kind)
         if length != len(rest) or not all(part.isdecimal() for part in rest[1:]):
             return ()
--- a/calicohitch/fleet/roster.py
+++ b/calicohitch/fleet/roster.py
@@ -111,8 +111,11 @@
         work = self.works.get((relay, epoch))
         if work is None:
             return []
-        return [part for part in range(len(work.parts))
-                if not ((claim := self.claims.get((relay, epoch, part))) and claim.adopted)]
+        return [
+            part
+            for part in range(len(work.parts))
+            if not ((claim := self.claims.get((relay, epoch, part))) and claim.adopted)
+        ]
 
     def works_of(self, relay: str) -> list[int]:
         """The epochs of a relay that the store has work of."""
--- a/calicohitch/fleet/tenure.py
+++ b/calicohitch/fleet/tenure.py
@@ -54,8 +54,9 @@
 
     def generate(self, roster: Roster, drawn: str) -> Step:
         """A store that was found empty, or gone back, has a new generation: nothing of before is claimed any more."""
-        return Step("a new generation", roster.as_it_is(self.keys.generation),
-            [Put(self.keys.generation, drawn.encode())])
+        return Step(
+            "a new generation", roster.as_it_is(self.keys.generation), [Put(self.keys.generation, drawn.encode())]
+        )
 
     def taken_by(self, roster: Roster, kept: Kept) -> str:
         """Why this relay cannot register now: another process is alive under its name; "" where it can."""
@@ -69,8 +70,11 @@
         epoch = max(roster.epochs.get(self.relay, 0), kept.epoch, self.epoch) + 1
         mine = self.keys.epoch(self.relay), self.keys.member(self.relay)
         member = msgspec.structs.replace(self.member, epoch=epoch)
-        return epoch, Step(f"epoch {epoch} begins", roster.as_it_is(*mine), [
-            Put(mine[0], str(epoch).encode()), Put(mine[1], write_record(member), lease)])
+        return epoch, Step(
+            f"epoch {epoch} begins",
+            roster.as_it_is(*mine),
+            [Put(mine[0], str(epoch).encode()), Put(mine[1], write_record(member), lease)],
+        )
 
     def begun(self, epoch: int) -> None:
         self.epoch = epoch
@@ -78,8 +82,7 @@
 
     def is_mine(self, roster: Roster, lease: int) -> bool:
         """Whether the member's record is this life's, with this lease."""
-        return (roster.members.get(self.relay) == self.member
-                and roster.lease_of(self.keys.member(self.relay)) == lease)
+        return roster.members.get(self.relay) == self.member and roster.lease_of(self.keys.member(self.relay)) == lease
 
     # What became of the work of earlier epochs.
 
@@ -121,8 +124,9 @@
         """Name the holders of each part: from its commit on none but those may claim."""
         key = self.keys.work(self.relay, self.epoch)
         work = Work(State.OWNED, roster.generation, tuple(tuple(holders) for holders in parts))
-        return Step("holders are published", [*roster.as_it_is(key, self.keys.generation)],
-            [Put(key, write_record(work))])
+        return Step(
+            "holders are published", [*roster.as_it_is(key, self.keys.generation)], [Put(key, write_record(work))]
+        )
 
     def shown(self, roster: Roster) -> tuple[tuple[Holder, ...], ...] | None:
         """What the store has published; None where it has nothing of this epoch."""
@@ -135,8 +139,13 @@
             return self.passed
         there = roster.members.get(self.relay)
         work = roster.works.get((self.relay, self.epoch))
-        claimed = sorted({claim.relay for (relay, epoch, _), claim in roster.claims.items()
-                          if (relay, epoch) == (self.relay, self.epoch)})
+        claimed = sorted(
+            {
+                claim.relay
+                for (relay, epoch, _), claim in roster.claims.items()
+                if (relay, epoch) == (self.relay, self.epoch)
+            }
+        )
         if (there and there.epoch > self.epoch) or roster.epochs.get(self.relay, 0) > self.epoch:
             self.passed = f"epoch {self.epoch} of {self.relay} is passed: a later one has begun"
         elif claimed or (work and work.state is not State.OWNED):
--- a/calicohitch/grpc/codec.py
+++ b/calicohitch/grpc/codec.py
@@ -54,8 +54,9 @@
             if flag > 1:
                 raise CodecError(Status.INTERNAL, f"a message begins with the flag {flag}, which is neither 0 nor 1")
             if length > self._most:
-                raise CodecError(Status.RESOURCE_EXHAUSTED,
-                    f"a message of {length} bytes; {self._most} are passed through at most")
+                raise CodecError(
+                    Status.RESOURCE_EXHAUSTED, f"a message of {length} bytes; {self._most} are passed through at most"
+                )
             if len(self._buffer) < PREFIX_SIZE + length:
                 break
             found.append(bytes(self._buffer[: PREFIX_SIZE + length]))
@@ -110,8 +111,10 @@
 def decode_binary(value: bytes) -> list[bytes]:
     """The values of a `-bin` key: base64 with or without padding, several joined by commas."""
     try:
-        return [base64.b64decode(part + b"=" * (-len(part) % 4), validate=True)
-                for part in (it.strip() for it in value.split(b","))]
+        return [
+            base64.b64decode(part + b"=" * (-len(part) % 4), validate=True)
+            for part in (it.strip() for it in value.split(b","))
+        ]
     except (binascii.Error, ValueError) as err:
         raise CodecError(Status.INTERNAL, f"a -bin value is no base64: {err}") from err
 
@@ -122,8 +125,22 @@
 
 # Metadata. What belongs to one hop stays there; the relay adds its own.
 
-_OF_A_HOP = frozenset({b"te", b"connection", b"keep-alive", b"proxy-connection", b"transfer-encoding", b"upgrade",
-    b"host", b"content-length", b"grpc-timeout", b"traceparent", b"tracestate", b"grpc-accept-encoding"})
+_OF_A_HOP = frozenset(
+    {
+        b"te",
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"transfer-encoding",
+        b"upgrade",
+        b"host",
+        b"content-length",
+        b"grpc-timeout",
+        b"traceparent",
+        b"tracestate",
+        b"grpc-accept-encoding",
+    }
+)
 
 
 def metadata(headers: Headers, also: Iterable[bytes] = ()) -> list[tuple[bytes, bytes]]:
--- a/calicohitch/grpc/delivery.py
+++ b/calicohitch/grpc/delivery.py
@@ -168,9 +168,15 @@
         if self._pipe.streams:  # a stream may go on for as long as its client waits
             left = max(1.0, self._pipe.deadline - self._clock.now())
         headers = [
-            (b":method", b"POST"), (b":scheme", b"http"), (b":path", self._pipe.request.path),
-            (b":authority", str(address).encode()), (b"te", b"trailers"), (b"grpc-timeout", timeout(left)),
-            *metadata(self._pipe.request.headers), *self._call.more]
+            (b":method", b"POST"),
+            (b":scheme", b"http"),
+            (b":path", self._pipe.request.path),
+            (b":authority", str(address).encode()),
+            (b"te", b"trailers"),
+            (b"grpc-timeout", timeout(left)),
+            *metadata(self._pipe.request.headers),
+            *self._call.more,
+        ]
         try:
             whole = self._pipe.whole()
             if whole is not None and stream.takes_at_once(len(whole)):
--- a/calicohitch/grpc/intake.py
+++ b/calicohitch/grpc/intake.py
@@ -101,13 +101,14 @@
         connection: Http2Connection | None = None
         try:
             async with anyio.create_task_group() as tasks:
+
                 def start(stream: Http2Stream) -> None:
                     tasks.start_soon(self._stream, stream)
 
                 limits = Http2Limits(
-                    streams=self._set.streams, quiet_ms=self._set.quiet_ms, answer_ms=self._set.answer_ms)
-                connection = Http2Connection(Link(sock), self._clock, limits, client=False,
-                    on_stream=start)
+                    streams=self._set.streams, quiet_ms=self._set.quiet_ms, answer_ms=self._set.answer_ms
+                )
+                connection = Http2Connection(Link(sock), self._clock, limits, client=False, on_stream=start)
                 self._connections.add(connection)
                 await connection.start()
                 await connection.run()
@@ -155,10 +156,17 @@
             raise CodecError(Status.DEADLINE_EXCEEDED, "the call's time was over when it came")
         routed = self._routes.find(request)
         cls = self._classes[routed.route.class_index]
-        time_left = min(request.timeout_ms if request.timeout_ms is not None else cls.deadline / 1e3,
-                        cls.deadline / 1e3)
-        pipe = Pipe(request, stream, max(self._set.keep, 1), self._set.message, self._clock.now() + time_left,
-            routed.route.streams)
+        time_left = min(
+            request.timeout_ms if request.timeout_ms is not None else cls.deadline / 1e3, cls.deadline / 1e3
+        )
+        pipe = Pipe(
+            request,
+            stream,
+            max(self._set.keep, 1),
+            self._set.message,
+            self._clock.now() + time_left,
+            routed.route.streams,
+        )
         if not routed.route.streams:
             pipe.keep = max(pipe.keep, self._set.message)
             await self._read_whole(pipe)
@@ -176,8 +184,19 @@
         waiting = _Waiting(stream)
         again = (pipe.request.first(b"req-retry") or b"").strip()
         told = Submission(
-            routed.id or uuid.uuid4().hex, routed.route.class_index, routed.dest, time_left, routed.key, b"",
-            again in (b"1", b"again"), again == b"again", pipe.request.headers, PROTOCOL, waiting, pipe)
+            routed.id or uuid.uuid4().hex,
+            routed.route.class_index,
+            routed.dest,
+            time_left,
+            routed.key,
+            b"",
+            again in (b"1", b"again"),
+            again == b"again",
+            pipe.request.headers,
+            PROTOCOL,
+            waiting,
+            pipe,
+        )
         number = self._relay.take(told)
         if isinstance(number, Refusal):
             await self._say(stream, self._refused(number))
@@ -225,8 +244,11 @@
         else:
             told = trailers(Status.UNKNOWN, "given up; an attempt may have run", more)
         if not pipe.begun:
-            told = [(b":status", b"200"), (b"content-type", b"application/grpc"),
-                    *(item for item in told if item[0] != b"content-type")]
+            told = [
+                (b":status", b"200"),
+                (b"content-type", b"application/grpc"),
+                *(item for item in told if item[0] != b"content-type"),
+            ]
         await stream.send_headers(told, end=True)
 
     async def _health(self, stream: Http2Stream, method: str) -> None:
--- a/calicohitch/grpc/routes.py
+++ b/calicohitch/grpc/routes.py
@@ -47,8 +47,9 @@
         if dest is None:
             text = request.first(route.dest_key.encode()) or b""
             if not text.isdigit() or len(text) > 12:
-                raise CodecError(Status.INVALID_ARGUMENT,
-                    f"the metadata {route.dest_key} must be the number of a destination")
+                raise CodecError(
+                    Status.INVALID_ARGUMENT, f"the metadata {route.dest_key} must be the number of a destination"
+                )
             dest = int(text)
         return Routed(route, dest, self._token(request, route.id_key), self._token(request, route.key_key))
 
--- a/calicohitch/grpc/settings.py
+++ b/calicohitch/grpc/settings.py
@@ -21,8 +21,11 @@
     also_http: bool = False
 
     def matches(self, name: str, flavor: str, dest: int) -> bool:
-        return ((not self.id or self.id == name) and (not self.flavor or self.flavor == flavor)
-                and (self.dest is None or self.dest == dest))
+        return (
+            (not self.id or self.id == name)
+            and (not self.flavor or self.flavor == flavor)
+            and (self.dest is None or self.dest == dest)
+        )
 
 
 @dataclass(frozen=True, slots=True)
--- a/calicohitch/grpc/status.py
+++ b/calicohitch/grpc/status.py
@@ -46,9 +46,19 @@
     wait: float = 0.0
 
 
-_ANSWERS = frozenset({Status.OK, Status.INVALID_ARGUMENT, Status.NOT_FOUND, Status.ALREADY_EXISTS,
-    Status.PERMISSION_DENIED, Status.FAILED_PRECONDITION, Status.OUT_OF_RANGE, Status.UNIMPLEMENTED,
-    Status.UNAUTHENTICATED})
+_ANSWERS = frozenset(
+    {
+        Status.OK,
+        Status.INVALID_ARGUMENT,
+        Status.NOT_FOUND,
+        Status.ALREADY_EXISTS,
+        Status.PERMISSION_DENIED,
+        Status.FAILED_PRECONDITION,
+        Status.OUT_OF_RANGE,
+        Status.UNIMPLEMENTED,
+        Status.UNAUTHENTICATED,
+    }
+)
 _TELL_TO_WAIT = frozenset({Status.RESOURCE_EXHAUSTED, Status.UNAVAILABLE})
 LONGEST_WAIT_MS = 3_600_000.0
 
@@ -74,9 +84,16 @@
 
 def of_http(code: int) -> Status:
     """The status of an answer without `grpc-status`, by gRPC's own mapping of HTTP codes."""
-    return {400: Status.INTERNAL, 401: Status.UNAUTHENTICATED, 403: Status.PERMISSION_DENIED, 404: Status.UNIMPLEMENTED,
-            429: Status.UNAVAILABLE, 502: Status.UNAVAILABLE, 503: Status.UNAVAILABLE,
-            504: Status.UNAVAILABLE}.get(code, Status.UNKNOWN)
+    return {
+        400: Status.INTERNAL,
+        401: Status.UNAUTHENTICATED,
+        403: Status.PERMISSION_DENIED,
+        404: Status.UNIMPLEMENTED,
+        429: Status.UNAVAILABLE,
+        502: Status.UNAVAILABLE,
+        503: Status.UNAVAILABLE,
+        504: Status.UNAVAILABLE,
+    }.get(code, Status.UNKNOWN)
 
 
 def read_status(text: bytes | None) -> Status:
--- a/calicohitch/intake/admission/account.py
+++ b/calicohitch/intake/admission/account.py
@@ -45,5 +45,8 @@
         self.accepted, self.causes, self.sources = 0, Counter(), {}
         if not causes:
             return None
-        return {"accepted": accepted, "causes": dict(causes),
-                "sources": {cause: heaviest.top() for cause, heaviest in sources.items()}}
+        return {
+            "accepted": accepted,
+            "causes": dict(causes),
+            "sources": {cause: heaviest.top() for cause, heaviest in sources.items()},
+        }
--- a/calicohitch/intake/clients.py
+++ b/calicohitch/intake/clients.py
@@ -98,8 +98,9 @@
     @property
     def answering(self) -> int:
         """Requests that have begun and are not answered yet."""
-        return self._answering + sum(1 for line in (self.seats.fresh, self.seats.begun) for seat in line
-                                     if seat.data or seat.scope)
+        return self._answering + sum(
+            1 for line in (self.seats.fresh, self.seats.begun) for seat in line if seat.data or seat.scope
+        )
 
     async def run(self) -> None:
         self._waited_for = Readiness()
@@ -178,8 +179,10 @@
             if told := self.account.told():
                 ledger = self._relay.leases.told()
                 logger.bind(event="clients.shed", seats=self.seats.count, ledger=ledger, **told).info(
-                    "clients: {} were shed or refused: {}", sum(told["causes"].values()),  # type: ignore[attr-defined]
-                    ", ".join(f"{count} {cause}" for cause, count in told["causes"].items()))  # type: ignore[attr-defined]
+                    "clients: {} were shed or refused: {}",
+                    sum(told["causes"].values()),  # type: ignore[attr-defined]
+                    ", ".join(f"{count} {cause}" for cause, count in told["causes"].items()),
+                )  # type: ignore[attr-defined]
 
     def _guarded(self, seat: Seat, waited_ms: float = 0.0) -> None:
         try:
@@ -254,6 +257,7 @@
 
     def _pause(self) -> None:
         """Look for new connections again a little later: there is no room for one now."""
+
         async def listen_again() -> None:
             await anyio.sleep(_ROOM_S)
             self._listen(True)
@@ -328,8 +332,13 @@
         now = anyio.current_time()
         seat = self.seats.to_shed(now, self.shares.weight, lambda source: self.shares.known(source, now * 1e3))
         if seat:
-            cause = ("began a request and did not end it" if seat.data or seat.scope else
-                     "said nothing" if seat.first else "idle between requests")
+            cause = (
+                "began a request and did not end it"
+                if seat.data or seat.scope
+                else "said nothing"
+                if seat.first
+                else "idle between requests"
+            )
             self.account.shed(f"made room: {cause}", seat.source)
             self._close(seat)
         return seat is not None
@@ -449,7 +458,8 @@
     def _keep_alive(self, number: int | None) -> bool:
         """Whether a connection is kept behind an answer, to a message that was taken on where there is a number."""
         return not self._relay.stopping and (
-            number is None or self._keeping.keep(self.seats.count, self._relay.max_clients))
+            number is None or self._keeping.keep(self.seats.count, self._relay.max_clients)
+        )
 
     def _keep(self, seat: Seat) -> None:
         """It is answered, and may come again."""
--- a/calicohitch/intake/head.py
+++ b/calicohitch/intake/head.py
@@ -39,8 +39,14 @@
     return Common(request, connection == b"close")
 
 
-_PHRASES = {200: b"OK", 202: b"Accepted", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed",
-            503: b"Service Unavailable"}
+_PHRASES = {
+    200: b"OK",
+    202: b"Accepted",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    503: b"Service Unavailable",
+}
 
 
 def answer(status: int, headers: list[tuple[bytes, bytes]], body: bytes, close: bool) -> bytes:
--- a/calicohitch/intake/seats.py
+++ b/calicohitch/intake/seats.py
@@ -74,7 +74,8 @@
         for seat in sorted(late, key=lambda seat: weight(seat.source), reverse=True):
             if seat.scope or not seat.is_unread():
                 return seat
-        strangers = (seat for line in (self.kept, self.fresh) for seat in islice(line, _MOST_COMPARED)
-                     if not known(seat.source))
+        strangers = (
+            seat for line in (self.kept, self.fresh) for seat in islice(line, _MOST_COMPARED) if not known(seat.source)
+        )
         anyone = (seat for line in (self.kept, self.fresh) for seat in line)
         return next((seat for seats in (strangers, anyone) for seat in seats if seat.is_silent()), None)
--- a/calicohitch/journal.py
+++ b/calicohitch/journal.py
@@ -169,8 +169,14 @@
     cannot be used. `check` is called before each write, and raises where this life may not act."""
 
     def __init__(
-        self, folder: Path, disk_bytes: float, life: int = 0, check: Callable[[], None] = lambda: None,
-        moment: Moment | None = None, complete: bool = False, own_times: bool = True,
+        self,
+        folder: Path,
+        disk_bytes: float,
+        life: int = 0,
+        check: Callable[[], None] = lambda: None,
+        moment: Moment | None = None,
+        complete: bool = False,
+        own_times: bool = True,
     ) -> None:
         """`moment`: now, by the clock that this life tells times by. `complete`: OSError where a segment cannot be read
         for a reason that may pass; without it such a segment is left as it is. `own_times`: the records' times are by
@@ -442,8 +448,11 @@
         for _, path in sorted(found):
             if (data := self._readable(path, Path.read_bytes)) is not None:
                 self._load(path, data)
-        self.orphans = sum(any(kind != _Kind.TRACE for kind, _, _ in told) for number, told in self._early.items()
-                           if number not in self._over)
+        self.orphans = sum(
+            any(kind != _Kind.TRACE for kind, _, _ in told)
+            for number, told in self._early.items()
+            if number not in self._over
+        )
         self._early.clear()
         self._over.clear()
 
@@ -484,16 +493,22 @@
             return 0
         told, _, number = _HEADER.unpack_from(first.payload, _HEAD.size)
         if told > FORMAT:
-            raise FolderNewer(f"{path} was written by a newer program, in format {told}; this one reads up to "
-                              f"{FORMAT}: start that program again, or give it time to end its work")
+            raise FolderNewer(
+                f"{path} was written by a newer program, in format {told}; this one reads up to "
+                f"{FORMAT}: start that program again, or give it time to end its work"
+            )
         return int(number)
 
     def _lost(self, lost: Lost, segment: _Segment) -> None:
         """A stretch that cannot be read: an attempt or an end of any message that is open by then may be missing."""
         segment.damaged = True
         salvaged = self._salvaged(lost.payload, segment)
-        self._note(segment, lost.offset, lost.length, "it is lost" if salvaged is None else
-            f"the body of message {salvaged.id} is lost, and it ends undelivered")
+        self._note(
+            segment,
+            lost.offset,
+            lost.length,
+            "it is lost" if salvaged is None else f"the body of message {salvaged.id} is lost, and it ends undelivered",
+        )
         for entry in self.entries.values():
             if not entry.doubtful:
                 entry.doubtful, entry.whole_until = True, self.written_until
@@ -572,8 +587,11 @@
             if attempt < len(entry.attempts):
                 return  # told already
             while len(entry.attempts) < attempt:  # one that could not be written was not made, a lost one may have been
-                entry.attempts.append(Attempt(entry.whole_until, zone) if entry.doubtful else
-                    Attempt(sent_at, zone, may_have_run=False, settled=True))
+                entry.attempts.append(
+                    Attempt(entry.whole_until, zone)
+                    if entry.doubtful
+                    else Attempt(sent_at, zone, may_have_run=False, settled=True)
+                )
             entry.attempts.append(Attempt(sent_at, zone))
         elif kind == _Kind.OUTCOME:
             attempt, may_have_run = _OUTCOME.unpack(rest)
@@ -646,7 +664,12 @@
     deadline, length = _TAKEN.unpack_from(rest)
     start = _TAKEN.size + length
     wire_id, class_name, dest, key = json.loads(rest[_TAKEN.size : start])
-    if not (isinstance(wire_id, str) and isinstance(class_name, str) and type(dest) is int and math.isfinite(deadline)
-            and (key is None or isinstance(key, str))):
+    if not (
+        isinstance(wire_id, str)
+        and isinstance(class_name, str)
+        and type(dest) is int
+        and math.isfinite(deadline)
+        and (key is None or isinstance(key, str))
+    ):
         raise TypeError("a field is of the wrong type")
     return Entry(number, wire_id, class_name, dest, deadline, key, rest[start:], call=call)
--- a/calicohitch/net/answer.py
+++ b/calicohitch/net/answer.py
@@ -14,8 +14,11 @@
     if isinstance(head, Look):
         return head
     (status,), headers = head.first, head.headers
-    if (status in _WITHOUT_BODY or b"transfer-encoding" in headers
-            or headers.get(b"connection", b"keep-alive") != b"keep-alive"):
+    if (
+        status in _WITHOUT_BODY
+        or b"transfer-encoding" in headers
+        or headers.get(b"connection", b"keep-alive") != b"keep-alive"
+    ):
         return Look.UNCOMMON
     body = read_body(data, head, headers.get(b"content-length", b""), most)
     return body if isinstance(body, Look) else (int(status), headers, body)
--- a/calicohitch/net/discovery.py
+++ b/calicohitch/net/discovery.py
@@ -181,9 +181,19 @@
 
     def _made_told(self) -> list[dict[str, Any]]:
         phases = {phase: word for word, phase in _PHASES.items()}
-        return [{"id": m.id, "host_port": str(m.address) if m.address else "", "locality": m.listed.zone,
-                 "flavor": m.listed.kind, "cell": m.listed.dest, "phase": phases[m.listed.phase],
-                 "size": m.listed.weight, "up_since_ms": to_ms(m.listed.since)} for m in self._members.values()]
+        return [
+            {
+                "id": m.id,
+                "host_port": str(m.address) if m.address else "",
+                "locality": m.listed.zone,
+                "flavor": m.listed.kind,
+                "cell": m.listed.dest,
+                "phase": phases[m.listed.phase],
+                "size": m.listed.weight,
+                "up_since_ms": to_ms(m.listed.since),
+            }
+            for m in self._members.values()
+        ]
 
     def number(self, name: str) -> int | None:
         """The number of an endpoint that the list has named."""
@@ -312,8 +322,9 @@
             self._tell(update.told())
         if self._version is not None and update.version < self._version and not update.complete:
             # Guards against a list of an earlier life, or of a discovery that lost its own: nothing new would be told.
-            logger.warning("discovery is at revision {} and was at {}: all of its list is asked for", update.version,
-                self._version)
+            logger.warning(
+                "discovery is at revision {} and was at {}: all of its list is asked for", update.version, self._version
+            )
             self._version = None
             return
         self._version, self._at_once = update.version, False
--- a/calicohitch/net/http.py
+++ b/calicohitch/net/http.py
@@ -296,8 +296,11 @@
     def clean(self) -> bool:
         """It is whole, with nothing behind it, and another may follow on its connection."""
         http = self._http
-        return http is not None and not http.trailing_data[0] and (
-            http.our_state is h11.DONE and http.their_state is h11.DONE)
+        return (
+            http is not None
+            and not http.trailing_data[0]
+            and (http.our_state is h11.DONE and http.their_state is h11.DONE)
+        )
 
     @staticmethod
     def _asked() -> h11.Connection:
@@ -320,9 +323,7 @@
         self.progress: Callable[[bool], None] | None = None  # told when all is sent, and when an answer begins
 
     @classmethod
-    async def open(
-        cls, address: Address, max_body: int = MAX_BODY, needs_body: bool = False
-    ) -> ClientConnection:
+    async def open(cls, address: Address, max_body: int = MAX_BODY, needs_body: bool = False) -> ClientConnection:
         return cls(await Link.connect(address), max_body, needs_body)
 
     @property
@@ -366,8 +367,7 @@
         lines = [b"%s: %s\r\n" % header for header in headers]
         if any(_UNSENDABLE.search(line, 0, len(line) - 2) for line in lines):
             raise ValueError("a header holds what cannot be sent in one")
-        await self._link.send(b"%s %s HTTP/1.1\r\n%s\r\n%s" % (
-            method.encode(), target.encode(), b"".join(lines), body))
+        await self._link.send(b"%s %s HTTP/1.1\r\n%s\r\n%s" % (method.encode(), target.encode(), b"".join(lines), body))
         self.sent = True
         if self.progress:
             self.progress(False)
@@ -523,8 +523,15 @@
         counts = Counter(name for name, _ in head.headers)
         path, _, query = head.target.decode("ascii", "replace").partition("?")
         method = head.method.decode("ascii", "replace")
-        return Request(method, path, dict(head.headers), bytes(body), query,
-            frozenset(name for name, count in counts.items() if count > 1), head.headers)
+        return Request(
+            method,
+            path,
+            dict(head.headers),
+            bytes(body),
+            query,
+            frozenset(name for name, count in counts.items() if count > 1),
+            head.headers,
+        )
 
     async def respond(
         self, status: int, headers: Headers | None = None, body: bytes = b"", close: bool = False
--- a/calicohitch/net/notices.py
+++ b/calicohitch/net/notices.py
@@ -30,7 +30,9 @@
 
     def line(self) -> str:
         told: dict[str, str | int] = {
-            "message": self.id, "outcome": "handed_back" if self.end.handed_back else "given_up"}
+            "message": self.id,
+            "outcome": "handed_back" if self.end.handed_back else "given_up",
+        }
         if self.end.handed_back and self.end.retry_in > 0:
             told["retry_in_ms"] = round(self.end.retry_in)
         return json.dumps(told, separators=(",", ":"))
@@ -40,7 +42,10 @@
     """Sends notices in order until each is acknowledged; open messages bound how many can wait."""
 
     def __init__(
-        self, address: Address, acknowledged: Callable[[int], None], leases: Leases | None = None,
+        self,
+        address: Address,
+        acknowledged: Callable[[int], None],
+        leases: Leases | None = None,
         may_act: Callable[[], bool] = lambda: True,
     ) -> None:
         """`may_act`: asked before each request; while it says no, nothing is sent."""
--- a/calicohitch/net/peers.py
+++ b/calicohitch/net/peers.py
@@ -16,8 +16,9 @@
 
 
 class Peers:
-    def __init__(self, listen: Address, peers: tuple[Address, ...], everyone: Address | None,
-                 heard: Callable[[int, bytes], None]) -> None:
+    def __init__(
+        self, listen: Address, peers: tuple[Address, ...], everyone: Address | None, heard: Callable[[int, bytes], None]
+    ) -> None:
         self._peers, self._everyone, self._heard = peers, everyone, heard
         self._numbers = {(peer.host, peer.port): n for n, peer in enumerate(peers)}
         self._listen = listen
--- a/calicohitch/net/pending_ends.py
+++ b/calicohitch/net/pending_ends.py
@@ -36,7 +36,8 @@
         notice = Notice(entry.number, entry.id, end)
         if self._journal.owes(entry.number) and self._now() < entry.deadline:
             logger.bind(event="end.waits_for_disk", message=entry.id).warning(
-                "the end of message {} waits for the disk", entry.id)
+                "the end of message {} waits for the disk", entry.id
+            )
             self._pending[entry.number] = _Pending(notice, entry.deadline)
         else:
             self._tell(notice)
--- a/calicohitch/net/relay.py
+++ b/calicohitch/net/relay.py
@@ -70,8 +70,7 @@
 
 
 def _earlier(entry: Entry) -> tuple[i.EarlierAttempt, ...]:
-    return tuple(
-        i.EarlierAttempt(to_micros(was.sent_at), was.zone, was.may_have_run) for was in entry.attempts)
+    return tuple(i.EarlierAttempt(to_micros(was.sent_at), was.zone, was.may_have_run) for was in entry.attempts)
 
 
 class Relay:
@@ -197,8 +196,9 @@
     def turned_away(self, told: Submission, why: Refusal) -> None:
         """An intake refuses a message by itself, or `take` did: its story is told all the same."""
         if self._tracer:
-            self._tracer.turned_away(told.id, told.class_index, told.dest, told.headers, told.key, why.value,
-                told.handed_in_again)
+            self._tracer.turned_away(
+                told.id, told.class_index, told.dest, told.headers, told.key, why.value, told.handed_in_again
+            )
 
     def _take(self, told: Submission) -> int | Refusal:
         if (number := self._by_id.get(told.id)) is not None:
@@ -222,8 +222,9 @@
         now = self._clock.now()
         deadline = now + min(max(told.time_left, 0.0), longest)
         class_name = self._config.names.classes[told.class_index]
-        entry = Entry(number, told.id, class_name, told.dest, deadline, told.key, told.body,
-            call=told.reply is not None)
+        entry = Entry(
+            number, told.id, class_name, told.dest, deadline, told.key, told.body, call=told.reply is not None
+        )
         if self._tracer:
             entry.trace = self._tracer.taking(entry, told.headers, now, told.handed_in_again)
         if self._copies:
@@ -248,7 +249,10 @@
     def _take_again(self, entry: Entry, told: Submission) -> int | Refusal:
         """A client's call broke, here or in an earlier life, and it comes again: what was tried counts."""
         if (entry.class_name, entry.dest, entry.key) != (
-                self._config.names.classes[told.class_index], told.dest, told.key):
+            self._config.names.classes[told.class_index],
+            told.dest,
+            told.key,
+        ):
             return Refusal.TAKEN  # another message under its id
         self._memory.forget(told.id)
         longest = to_ms(self._config.settings.classes[told.class_index].deadline)
@@ -269,9 +273,18 @@
             if self._tracer:
                 self._tracer.accepted(number)
             left = to_micros(message.entry.deadline - self._clock.now())
-            self.feed(i.Arrived(number, told.class_index, told.dest, max(0, left),
-                handed_in_again=told.handed_in_again, from_dead_courier=told.from_dead_relay,
-                earlier=_earlier(message.entry), protocol=told.protocol))
+            self.feed(
+                i.Arrived(
+                    number,
+                    told.class_index,
+                    told.dest,
+                    max(0, left),
+                    handed_in_again=told.handed_in_again,
+                    from_dead_courier=told.from_dead_relay,
+                    earlier=_earlier(message.entry),
+                    protocol=told.protocol,
+                )
+            )
 
     def cancel(self, number: int) -> None:
         """The client of an open call has given it up: nothing is answered any more. What was tried is remembered as
@@ -352,7 +365,8 @@
             if self._sender.news.unread > _UNREAD_GROWS * unread:
                 unread = self._sender.news.unread
                 logger.bind(event="notes.unread", count=unread).warning(
-                    "{} notes from other relays could not be read and were left out", unread)
+                    "{} notes from other relays could not be read and were left out", unread
+                )
             memory, news = self._memory_of_world, self._open or self.heard_since_kept
             if memory and self.ready and news and memory.due(self._clock.now()):
                 self.keep()
@@ -361,8 +375,14 @@
         """Store what is known of the world now."""
         if self._memory_of_world and self._journal.may_act():
             self.heard_since_kept = False
-            self._memory_of_world.keep(self._clock.now(), self._sender.known(), self._name_of,
-                str(self._config.discovery), self._discovery.version, self._storable)
+            self._memory_of_world.keep(
+                self._clock.now(),
+                self._sender.known(),
+                self._name_of,
+                str(self._config.discovery),
+                self._discovery.version,
+                self._storable,
+            )
 
     def _storable(self) -> Sequence[dict[str, Any]]:
         """The list in discovery's form; nothing where it is too long to be stored."""
@@ -376,10 +396,12 @@
         for passed in self.came_back.news(self._clock.now()):
             facts = ", ".join(f"{count} {name}" for name, count in passed.facts.items())
             logger.bind(event="recovery.phase", phase=passed.phase.value, after_ms=passed.after, **passed.facts).info(
-                "return: {} after {:.0f} ms{}", passed.phase.value, passed.after, f" ({facts})" if facts else "")
+                "return: {} after {:.0f} ms{}", passed.phase.value, passed.after, f" ({facts})" if facts else ""
+            )
         for second, counts in self.came_back.seconds:
             logger.bind(event="recovery.second", second=second, **counts).info(
-                "return: second {}: {}", second, ", ".join(f"{count} {name}" for name, count in counts.items()))
+                "return: second {}: {}", second, ", ".join(f"{count} {name}" for name, count in counts.items())
+            )
         self.came_back.seconds.clear()
 
     def _heard(self, peer: int, data: bytes) -> None:
@@ -431,8 +453,9 @@
         member = self._directory.get(action.endpoint)
         attempt = Attempt(now, member.listed.zone if member else 0)
         entry.attempts.append(attempt)
-        more, marks = (self._tracer.sending(entry.number, number, member, attempt.zone, now)
-                       if self._tracer else ((), None))
+        more, marks = (
+            self._tracer.sending(entry.number, number, member, attempt.zone, now) if self._tracer else ((), None)
+        )
         alone = self._config.settings.second_copies or not message.calls
         made = self.invariants.holds(Invariant.ONE_ATTEMPT_OUT, alone, entry.id)
         if made and self._copies and self._copies.is_copied(entry.number):
@@ -447,8 +470,9 @@
         """A message that is not here is nobody's: the decisions forget it, and have its slot back. Not in the turn that
         brought the action, so that decisions which insist stop nothing else."""
         logger.error("message {} is not here: it is not sent", action.message)
-        self.feed(i.Withdrawn(action.message),
-            i.Settled(action.message, action.attempt, action.endpoint, i.Outcome.MOOT, 0))
+        self.feed(
+            i.Withdrawn(action.message), i.Settled(action.message, action.attempt, action.endpoint, i.Outcome.MOOT, 0)
+        )
 
     def _written(self, message: _Open, number: int, action: i.Send) -> bool:
         """An attempt's record, before its first byte; without one it is not made. Once its connection is up: before
@@ -473,8 +497,15 @@
             self.came_back.tried(entry.number)
         return True
 
-    async def _call(self, message: _Open, attempt: int, action: i.Send, member: Member | None,
-                    more: Sequence[tuple[bytes, bytes]], marks: AttemptFacts | None) -> None:
+    async def _call(
+        self,
+        message: _Open,
+        attempt: int,
+        action: i.Send,
+        member: Member | None,
+        more: Sequence[tuple[bytes, bytes]],
+        marks: AttemptFacts | None,
+    ) -> None:
         entry, result = message.entry, Result(i.Outcome.MOOT)
         if self._copies and not await self._copies.until_safe(entry.number, (to_ms(action.timeout) or 1e4) / 1e3):
             self._settled(message, attempt, action.endpoint, result)  # nobody may know of it: it was not made
@@ -482,14 +513,25 @@
         await self._until_disk_takes(message, attempt, action)
         left = max(1.0, entry.deadline - self._clock.now())  # without any, `_wanted` says no
         told = message.told
-        call = Call(entry.id, entry.key, entry.body, min(to_ms(action.timeout) or left, left), more, marks,
-            told.content if told else None)
+        call = Call(
+            entry.id,
+            entry.key,
+            entry.body,
+            min(to_ms(action.timeout) or left, left),
+            more,
+            marks,
+            told.content if told else None,
+        )
         delivery = self._deliveries.get(told.protocol if told else 0, self._endpoints)
         try:
             if member and member.address:
-                result = await delivery.call(action.endpoint, member.address, call,
-                    message.calls[attempt], lambda: self._wanted(action, member) and
-                    self._written(message, attempt, action))
+                result = await delivery.call(
+                    action.endpoint,
+                    member.address,
+                    call,
+                    message.calls[attempt],
+                    lambda: self._wanted(action, member) and self._written(message, attempt, action),
+                )
         except Exception:  # guards all other messages against a fault in the handling of one
             logger.exception("a call broke off")
             result = Result(i.Outcome.RESET if attempt in message.written else i.Outcome.MOOT)
@@ -557,8 +599,18 @@
                 self._forget(number)
                 self._remember(message.entry)
         took = to_micros(now - message.entry.attempts[attempt].sent_at)
-        settled = i.Settled(number, attempt, endpoint, result.outcome, took, result.ended,
-            to_micros(math.ceil(result.wait)), result.slots_taken, result.report, result.stale)
+        settled = i.Settled(
+            number,
+            attempt,
+            endpoint,
+            result.outcome,
+            took,
+            result.ended,
+            to_micros(math.ceil(result.wait)),
+            result.slots_taken,
+            result.report,
+            result.stale,
+        )
         if self._lets_go(message):
             self.feed(i.Withdrawn(number), settled)
         else:
@@ -663,8 +715,12 @@
         arrived = self._taken_up(entries)
         if entries:
             logger.info("from the journal: {} messages, {} notices", len(arrived), len(self._notices))
-        self.came_back.folder(now, {told.message: told.dest for told in arrived}, len(self._journal.damage),
-            [told.message for told in arrived if not any(was.may_have_run for was in told.earlier)])
+        self.came_back.folder(
+            now,
+            {told.message: told.dest for told in arrived},
+            len(self._journal.damage),
+            [told.message for told in arrived if not any(was.may_have_run for was in told.earlier)],
+        )
         self.feed(*arrived)
 
     def _taken_up(self, entries: Sequence[Entry]) -> list[i.Arrived]:
@@ -682,8 +738,16 @@
             else:
                 self._open[entry.number] = _Open(entry, accepted=True)
                 self._by_id[entry.id] = entry.number
-                arrived.append(i.Arrived(entry.number, self._config.names.classes.index(entry.class_name),
-                    entry.dest, max(0, to_micros(entry.deadline - now)), earlier=_earlier(entry), restored=True))
+                arrived.append(
+                    i.Arrived(
+                        entry.number,
+                        self._config.names.classes.index(entry.class_name),
+                        entry.dest,
+                        max(0, to_micros(entry.deadline - now)),
+                        earlier=_earlier(entry),
+                        restored=True,
+                    )
+                )
         return arrived
 
     # Copies of this relay's work, and work of others.
@@ -838,17 +902,23 @@
         if not journal.damage and not journal.orphans:
             return
         for one in journal.damage[:_TOLD_DAMAGES]:
-            logger.bind(event="recovery.damage", segment=one.segment, offset=one.offset, length=one.length,
-                mended=one.mended).warning("journal: {} at {}: {} bytes are damaged: {}", one.segment, one.offset,
-                one.length, one.what)
+            logger.bind(
+                event="recovery.damage", segment=one.segment, offset=one.offset, length=one.length, mended=one.mended
+            ).warning("journal: {} at {}: {} bytes are damaged: {}", one.segment, one.offset, one.length, one.what)
         entries = journal.entries.values()
-        told = {"stretches": len(journal.damage), "mended": sum(one.mended for one in journal.damage),
-                "doubtful": sum(entry.doubtful for entry in entries), "bodiless": sum(e.bodiless for e in entries),
-                "orphans": journal.orphans}
+        told = {
+            "stretches": len(journal.damage),
+            "mended": sum(one.mended for one in journal.damage),
+            "doubtful": sum(entry.doubtful for entry in entries),
+            "bodiless": sum(e.bodiless for e in entries),
+            "orphans": journal.orphans,
+        }
         logger.bind(event="recovery.damaged", **told).error(
             "journal: {stretches} damaged stretches, {mended} of them mended; of {doubtful} open messages an attempt "
             "or an end may be missing: each goes on as its class allows; {bodiless} have lost their bodies and are "
-            "ended; {orphans} are known by later records only, and nobody can be told of them", **told)
+            "ended; {orphans} are known by later records only, and nobody can be told of them",
+            **told,
+        )
 
     async def _ring(self) -> None:
         """Wake the decisions when a timer of theirs is due."""
--- a/calicohitch/recovery/beliefs.py
+++ b/calicohitch/recovery/beliefs.py
@@ -77,11 +77,25 @@
 def encode(beliefs: Beliefs) -> bytes:
     """One line of JSON behind its checksum. A list too long for the bound is left out."""
     told = {
-        "format": FORMAT, "life": beliefs.life,
+        "format": FORMAT,
+        "life": beliefs.life,
         "written": [beliefs.written.wall, beliefs.written.mono, beliefs.written.boot],
-        "discovery": beliefs.discovery, "revision": beliefs.revision, "members": list(beliefs.members),
-        "routes": [[r.dest, r.endpoint, round(r.limit, 3), round(r.times, 4), round(r.came, 4), int(r.sick),
-                    round(r.cold_since), round(r.wait_until)] for r in beliefs.routes],
+        "discovery": beliefs.discovery,
+        "revision": beliefs.revision,
+        "members": list(beliefs.members),
+        "routes": [
+            [
+                r.dest,
+                r.endpoint,
+                round(r.limit, 3),
+                round(r.times, 4),
+                round(r.came, 4),
+                int(r.sick),
+                round(r.cold_since),
+                round(r.wait_until),
+            ]
+            for r in beliefs.routes
+        ],
         "on_time": beliefs.on_time,
     }
     data = json.dumps(told, separators=(",", ":")).encode()
@@ -100,11 +114,18 @@
             raise Unbelievable(f"it is of format {told['format']!r}, and this program reads {FORMAT}")
         wall, mono, boot = told["written"]
         return Beliefs(
-            Moment(_number(wall, 1e15), _number(mono, 1e15), str(boot)), int(told["life"]), str(told["discovery"]),
-            int(told["revision"]), tuple(item for item in told["members"] if isinstance(item, dict)),
+            Moment(_number(wall, 1e15), _number(mono, 1e15), str(boot)),
+            int(told["life"]),
+            str(told["discovery"]),
+            int(told["revision"]),
+            tuple(item for item in told["members"] if isinstance(item, dict)),
             tuple(route for item in told["routes"] if (route := _route(item))),
-            {str(name): (int(good), int(of)) for name, (good, of) in told["on_time"].items()
-             if 0 <= int(good) <= int(of) <= 1_000_000})
+            {
+                str(name): (int(good), int(of))
+                for name, (good, of) in told["on_time"].items()
+                if 0 <= int(good) <= int(of) <= 1_000_000
+            },
+        )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as err:
         raise Unbelievable(f"it cannot be understood: {type(err).__name__}: {err}") from err
 
@@ -120,22 +141,41 @@
     """One that says what cannot be is left out alone."""
     try:
         dest, endpoint, limit, times, came, sick, cold, wait = item
-        return KnownRoute(int(dest), str(endpoint), _number(limit, _LARGEST), _number(times, 100.0),
-            _number(came, _LARGEST), bool(sick), _number(cold, 1e15), _number(wait, 1e15))
+        return KnownRoute(
+            int(dest),
+            str(endpoint),
+            _number(limit, _LARGEST),
+            _number(times, 100.0),
+            _number(came, _LARGEST),
+            bool(sick),
+            _number(cold, 1e15),
+            _number(wait, 1e15),
+        )
     except (TypeError, ValueError, OverflowError):
         return None
 
 
-def believe(beliefs: Beliefs, now: Moment, discovery: str, known_revision: int, classes: Sequence[str],
-            waits_outlast: bool = False) -> Believed:
+def believe(
+    beliefs: Beliefs,
+    now: Moment,
+    discovery: str,
+    known_revision: int,
+    classes: Sequence[str],
+    waits_outlast: bool = False,
+) -> Believed:
     """What of it holds at `now`, by its age and what the configuration says: `known_revision` is that of the list
     there, -1 for none."""
     gap = between(beliefs.written, now)
     age, left_out = gap.passed, []
     members, revision = beliefs.members, beliefs.revision
     if members and (beliefs.discovery != discovery or revision <= known_revision or age > LIST_MS):
-        why = ("it is of another discovery" if beliefs.discovery != discovery else
-               "it is too old" if age > LIST_MS else "the configuration's is as new")
+        why = (
+            "it is of another discovery"
+            if beliefs.discovery != discovery
+            else "it is too old"
+            if age > LIST_MS
+            else "the configuration's is as new"
+        )
         left_out.append(("the list", age, why))
         members, revision = (), -1
     routes = []
@@ -143,15 +183,33 @@
         fresh, healthy = age <= LIMIT_MS, age <= HEALTH_MS
         wait = route.wait_until + gap.set_by if waits_outlast and route.wait_until else 0.0
         cold = route.cold_since + gap.set_by if healthy and route.cold_since else 0.0
-        kept = KnownRoute(route.dest, route.endpoint, route.limit if fresh else 0.0, route.times if fresh else 1.0,
-            route.came if fresh else 0.0, route.sick and healthy, cold, wait if wait > now.wall else 0.0)
+        kept = KnownRoute(
+            route.dest,
+            route.endpoint,
+            route.limit if fresh else 0.0,
+            route.times if fresh else 1.0,
+            route.came if fresh else 0.0,
+            route.sick and healthy,
+            cold,
+            wait if wait > now.wall else 0.0,
+        )
         if kept != KnownRoute(route.dest, route.endpoint):
             routes.append(kept)
-    for part, limit_ms, there in (("limits", LIMIT_MS, any(r.limit for r in beliefs.routes)),
-                                  ("health", HEALTH_MS, any(r.sick or r.cold_since for r in beliefs.routes)),
-                                  ("on-time shares", SHARE_MS, bool(beliefs.on_time))):
+    for part, limit_ms, there in (
+        ("limits", LIMIT_MS, any(r.limit for r in beliefs.routes)),
+        ("health", HEALTH_MS, any(r.sick or r.cold_since for r in beliefs.routes)),
+        ("on-time shares", SHARE_MS, bool(beliefs.on_time)),
+    ):
         if there and age > limit_ms:
             left_out.append((part, age, "too old"))
     on_time = {name: of for name, of in beliefs.on_time.items() if name in classes} if age <= SHARE_MS else {}
-    return Believed(age, gap.set_by, tuple(members), revision, tuple(routes), on_time, tuple(left_out),
-        rolled_back=age > ROLLED_BACK_MS)
+    return Believed(
+        age,
+        gap.set_by,
+        tuple(members),
+        revision,
+        tuple(routes),
+        on_time,
+        tuple(left_out),
+        rolled_back=age > ROLLED_BACK_MS,
+    )
--- a/calicohitch/recovery/claim.py
+++ b/calicohitch/recovery/claim.py
@@ -208,8 +208,11 @@
         still = now - self._since
         if still >= EXPIRED_S:
             logger.bind(event="claim.expired", life=life).warning(
-                "life {} holds the folder {} and has stood still for {:.1f} s: it is replaced", life, self._folder,
-                still)
+                "life {} holds the folder {} and has stood still for {:.1f} s: it is replaced",
+                life,
+                self._folder,
+                still,
+            )
             return self._begin(lives)
         parts = line.decode("ascii", "replace").split()
         pid = parts[1] if len(parts) > 1 else "unknown"
@@ -251,8 +254,10 @@
         try:
             if claim := watcher.look():
                 return claim
-            problem = FolderInUse(f"the folder {folder} is in use: {watcher.why}. Stop that process, or give this "
-                                  "relay a folder of its own (NODE_STATE)")
+            problem = FolderInUse(
+                f"the folder {folder} is in use: {watcher.why}. Stop that process, or give this "
+                "relay a folder of its own (NODE_STATE)"
+            )
         except FolderFailing as err:
             problem = err
         if time.monotonic() >= until:
--- a/calicohitch/recovery/memory.py
+++ b/calicohitch/recovery/memory.py
@@ -44,14 +44,17 @@
         if self.found is None:
             return
         now = clocks.now(wall)
-        told = self.believed = beliefs.believe(self.found, now, discovery, known_revision, self._classes,
-            self._waits_outlast)
+        told = self.believed = beliefs.believe(
+            self.found, now, discovery, known_revision, self._classes, self._waits_outlast
+        )
         for part, age, why in told.left_out:
             logger.bind(event="recovery.old", part=part, age_ms=age).info(
-                "stored {} of {:.1f} s ago: not believed, {}", part, age / 1e3, why)
+                "stored {} of {:.1f} s ago: not believed, {}", part, age / 1e3, why
+            )
         if abs(told.set_by) > _WORTH_A_LINE_MS:
             logger.bind(event="recovery.clock", set_by_ms=told.set_by).warning(
-                "the wall clock was set by {:+.1f} s since an earlier life: its times are moved", told.set_by / 1e3)
+                "the wall clock was set by {:+.1f} s since an earlier life: its times are moved", told.set_by / 1e3
+            )
 
     def mend(self, entries: Sequence[Entry]) -> None:
         """Move the times of an earlier life's messages to the wall clock as it is now, and doubt them all where the
@@ -70,7 +73,10 @@
         if told.rolled_back:
             logger.bind(event="recovery.rolled_back", age_ms=told.passed).warning(
                 "the folder was last written {:.0f} s ago and may be a copy from then: of {} open messages any may "
-                "have been tried since", told.passed / 1e3, len(entries))
+                "have been tried since",
+                told.passed / 1e3,
+                len(entries),
+            )
             for entry in entries:
                 if not entry.doubtful:
                     entry.doubtful, entry.whole_until = True, found.written.wall + told.set_by
@@ -84,8 +90,16 @@
             endpoint = number(route.endpoint) if route.endpoint else None
             if route.endpoint and endpoint is None:
                 continue
-            routes.append(RouteWas(route.dest, endpoint, (route.limit, route.times, route.came), route.sick,
-                to_micros(route.cold_since) if route.cold_since else -1, to_micros(route.wait_until)))
+            routes.append(
+                RouteWas(
+                    route.dest,
+                    endpoint,
+                    (route.limit, route.times, route.came),
+                    route.sick,
+                    to_micros(route.cold_since) if route.cold_since else -1,
+                    to_micros(route.wait_until),
+                )
+            )
         on_time = tuple(told.on_time.get(name, (0, 0)) for name in self._classes)
         return Recalled(tuple(routes), on_time)
 
@@ -93,17 +107,39 @@
         """Whether the last write is a second old: asked before what is known is gathered."""
         return wall - self._kept_at >= _EVERY_MS
 
-    def keep(self, wall: float, known: Recalled, name: Callable[[int], str], discovery: str, revision: int | None,
-             members: Callable[[], Sequence[dict[str, Any]]]) -> None:
+    def keep(
+        self,
+        wall: float,
+        known: Recalled,
+        name: Callable[[int], str],
+        discovery: str,
+        revision: int | None,
+        members: Callable[[], Sequence[dict[str, Any]]],
+    ) -> None:
         """Store what is known now; `members` in discovery's form. Routes of which nothing is known are left out."""
         self._kept_at = wall
         routes = tuple(
-            beliefs.KnownRoute(was.dest, name(was.endpoint) if was.endpoint is not None else "", *was.share, was.sick,
-                max(0.0, to_ms(was.cold_at)), to_ms(was.wait_until)) for was in known.routes
-            if was.share != _NO_SHARE or was.sick or was.cold_at > 0 or was.wait_until)
+            beliefs.KnownRoute(
+                was.dest,
+                name(was.endpoint) if was.endpoint is not None else "",
+                *was.share,
+                was.sick,
+                max(0.0, to_ms(was.cold_at)),
+                to_ms(was.wait_until),
+            )
+            for was in known.routes
+            if was.share != _NO_SHARE or was.sick or was.cold_at > 0 or was.wait_until
+        )
         on_time = dict(zip(self._classes, known.on_time, strict=True))
-        told = beliefs.Beliefs(clocks.now(wall), self._life, discovery, -1 if revision is None else revision,
-            tuple(members()), routes, on_time)
+        told = beliefs.Beliefs(
+            clocks.now(wall),
+            self._life,
+            discovery,
+            -1 if revision is None else revision,
+            tuple(members()),
+            routes,
+            on_time,
+        )
         try:
             self._keeper.write(beliefs.encode(told))
             self._failed = False
--- a/calicohitch/recovery/reading.py
+++ b/calicohitch/recovery/reading.py
@@ -32,8 +32,13 @@
     seconds: dict[int, dict[str, int]] = field(default_factory=dict)
 
     def told(self) -> dict[str, Any]:
-        return {"relay": self.relay, "life": self.life, "phases_ms": self.phases, "facts": self.facts,
-                "seconds": {str(second): counts for second, counts in sorted(self.seconds.items())}}
+        return {
+            "relay": self.relay,
+            "life": self.life,
+            "phases_ms": self.phases,
+            "facts": self.facts,
+            "seconds": {str(second): counts for second, counts in sorted(self.seconds.items())},
+        }
 
 
 def read(relay: str, lines: Iterable[str]) -> list[Life]:
@@ -77,5 +82,8 @@
     for life in lives:
         for second, counts in life.seconds.items():
             seconds.setdefault(second, Counter()).update(counts)
-    return {"returns": len(lives), "phases": phases,
-            "seconds": {str(second): dict(seconds[second]) for second in sorted(seconds)}}
+    return {
+        "returns": len(lives),
+        "phases": phases,
+        "seconds": {str(second): dict(seconds[second]) for second in sorted(seconds)},
+    }
--- a/calicohitch/rules.py
+++ b/calicohitch/rules.py
@@ -16,11 +16,47 @@
 
 from .core.common_share import share_of
 from .core.limit_news import LimitNews
-from .interface import (Action, Arrived, Cancel, CloseIdle, Effect, Event, Fail, Held, Hold, ListKind,
-    ListTold, MessageClass, Outcome, PeerSaid, Phase, Recalled, Refuse, Send, Settings, Settled, SetTimer,
-    Tell, Watch, Withdrawn)
-from .state import (SHARED, Allowances, Call, Destination, Endpoint, Message, Route, before,
-    conformance, known, recall, room_of, smoothed)
+from .interface import (
+    Action,
+    Arrived,
+    Cancel,
+    CloseIdle,
+    Effect,
+    Event,
+    Fail,
+    Held,
+    Hold,
+    ListKind,
+    ListTold,
+    MessageClass,
+    Outcome,
+    PeerSaid,
+    Phase,
+    Recalled,
+    Refuse,
+    Send,
+    Settings,
+    Settled,
+    SetTimer,
+    Tell,
+    Watch,
+    Withdrawn,
+)
+from .state import (
+    SHARED,
+    Allowances,
+    Call,
+    Destination,
+    Endpoint,
+    Message,
+    Route,
+    before,
+    conformance,
+    known,
+    recall,
+    room_of,
+    smoothed,
+)
 
 SECOND = 1_000_000  # microseconds
 TIERS = (1.0, 0.9, 0.8, 0.0)  # shares of conformance: the paper's service levels
@@ -96,8 +132,13 @@
         """Take what was seen at `now`; return what to do about it."""
         self._now, self._actions = now, []
         take: dict[type, Callable[[Any], None]] = {
-            Arrived: self._arrived, Settled: self._settled, Withdrawn: self._withdrawn, ListTold: self._list,
-            Recalled: self._recalled, PeerSaid: self._peer_said}
+            Arrived: self._arrived,
+            Settled: self._settled,
+            Withdrawn: self._withdrawn,
+            ListTold: self._list,
+            Recalled: self._recalled,
+            PeerSaid: self._peer_said,
+        }
         for event in events:
             take.get(type(event), lambda _: None)(event)
         while self._wakes and self._wakes[0][0] <= now:
@@ -399,6 +440,7 @@
     def _best(self, dest: Destination, shares: Sequence[float]) -> Iterator[Message]:
         """A destination's held messages in the design's release order; ties by what can meet its aim. Guards
         the CPU against long queues: those of one line differ in time alone, so a few cuts put it in order."""
+
         def rank(m: Message) -> tuple[float, ...]:
             usual, cost = self._latency(dest, m.cls), penalty(shares[m.told.class_index], m.worth)
             early = self._now < m.deadline_at - LATEST_START * usual
@@ -467,9 +509,17 @@
 
     def _endpoint_for(self, message: Message, dest: Destination) -> Endpoint | None:
         ends = [e for e in dest.ends.values() if not self._shut(e.route) and self._suits(message, e)]
-        return min(ends, default=None, key=lambda e: (
-            self._distrust(e), e is message.last, (e.calls + 1) * (e.mean or 0.0),
-            e.told.zone != self._set.zone, e.order))
+        return min(
+            ends,
+            default=None,
+            key=lambda e: (
+                self._distrust(e),
+                e is message.last,
+                (e.calls + 1) * (e.mean or 0.0),
+                e.told.zone != self._set.zone,
+                e.order,
+            ),
+        )
 
     def _distrust(self, endpoint: Endpoint) -> int:
         """Failures in a row, lately or with a trial still out: of two that fail, the one that fails less."""
--- a/calicohitch/service.py
+++ b/calicohitch/service.py
@@ -68,7 +68,12 @@
 
 
 async def _serve(
-    config: Config, reload: Callable[[], Config] | None, clock: Clock, operator: Operator, claim: Claim, up_at: float,
+    config: Config,
+    reload: Callable[[], Config] | None,
+    clock: Clock,
+    operator: Operator,
+    claim: Claim,
+    up_at: float,
     told: Told,
 ) -> None:
     """One life, on the folder that it has claimed."""
@@ -79,8 +84,17 @@
     takeover = _takeover(config, clock, operator, claim, journal)
     memory = Memory(config.state, claim.life, config.names.classes, operator.recovery.waits_outlast)
     if grpc:  # its connections, on both sides, take part in the one limit of descriptors
-        relay = Relay(config, clock, journal, tracer, grpc.speaks, 2 * (config.limits.sockets // 8), memory=memory,
-            up_at=up_at, copies=takeover)
+        relay = Relay(
+            config,
+            clock,
+            journal,
+            tracer,
+            grpc.speaks,
+            2 * (config.limits.sockets // 8),
+            memory=memory,
+            up_at=up_at,
+            copies=takeover,
+        )
     else:
         relay = Relay(config, clock, journal, tracer, memory=memory, up_at=up_at, copies=takeover)
     admission = operator.clients or AdmissionSettings()
@@ -132,8 +146,14 @@
     while True:
         last = anyio.current_time() >= until
         try:
-            return Journal(config.state, config.limits.disk_mb * _MB, claim.life, claim.check, clocks.now(clock.now()),
-                complete=not last)
+            return Journal(
+                config.state,
+                config.limits.disk_mb * _MB,
+                claim.life,
+                claim.check,
+                clocks.now(clock.now()),
+                complete=not last,
+            )
         except OSError as err:
             problem = unusable(config.state, err)
             if last or not isinstance(problem, FolderFailing):
@@ -185,8 +205,16 @@
     from .grpc.intake import PROTOCOL, GrpcIntake
 
     connect_ms = to_ms(config.settings.connect_timeout)
-    relay.deliver_by(PROTOCOL, GrpcDelivery(clock, connect_ms, config.limits.sockets // 8, settings,
-        tuple(report.name for report in config.settings.reports)))
+    relay.deliver_by(
+        PROTOCOL,
+        GrpcDelivery(
+            clock,
+            connect_ms,
+            config.limits.sockets // 8,
+            settings,
+            tuple(report.name for report in config.settings.reports),
+        ),
+    )
     listener = stack.enter_context(listen(settings.listen))
     logger.bind(event="grpc.listening").info("{} takes gRPC calls at {}", config.name, settings.listen)
     settings = replace(settings, connections=min(settings.connections, config.limits.sockets // 8))
@@ -202,11 +230,14 @@
 
     settings = operator.fleet
     if settings.hold_bytes > config.limits.disk_mb * _MB * (1 - DISK_SHARE):
-        raise FolderProblem(f"copies hold-mb={settings.hold_bytes / _MB:g} does not fit beside the journal on a disk "
-                            f"of {config.limits.disk_mb:g} MB: lower it, or raise limits.disk_mb")
+        raise FolderProblem(
+            f"copies hold-mb={settings.hold_bytes / _MB:g} does not fit beside the journal on a disk "
+            f"of {config.limits.disk_mb:g} MB: lower it, or raise limits.disk_mb"
+        )
     store = EtcdStore(settings.store, settings.store_timeout_ms)
-    return Takeover(settings, config.name, claim.life, config.names.classes, config.state, store, clock.now,
-        journal.may_act)
+    return Takeover(
+        settings, config.name, claim.life, config.names.classes, config.state, store, clock.now, journal.may_act
+    )
 
 
 def _tracer(config: Config, clock: Clock, operator: Operator) -> Tracer | None:
@@ -214,8 +245,9 @@
         return None
     from .tracing.tracer import Tracer
 
-    return Tracer(operator.tracing, clock, config.name, config.settings.classes, config.names.classes,
-        config.state, config.seed)
+    return Tracer(
+        operator.tracing, clock, config.name, config.settings.classes, config.names.classes, config.state, config.seed
+    )
 
 
 class _Reloads:
--- a/calicohitch/state.py
+++ b/calicohitch/state.py
@@ -85,7 +85,8 @@
         self.room = math.inf  # its lowest rank for room since it is held
         self.calls: dict[int, Call] = {}
         self.may_have_run = {  # attempt -> time sent, zone
-            n: (was.sent_at, was.zone) for n, was in enumerate(told.earlier) if was.may_have_run}
+            n: (was.sent_at, was.zone) for n, was in enumerate(told.earlier) if was.may_have_run
+        }
         self.last: Endpoint | None = None
         self.owed = told.restored and not self.may_have_run  # a call: an earlier life took it on, and made none
 
@@ -234,9 +235,17 @@
 def known(dests: Mapping[int, Destination]) -> tuple[RouteWas, ...]:
     """What there is to recall of all routes."""
     return tuple(
-        RouteWas(name, None if at == SHARED else at, route.share.state(), route.sick, route.cold_at,
-                 route.rest_until if route.rest_why is Hold.TOLD_WAIT else 0)
-        for name, dest in dests.items() for at, route in dest.routes.items())
+        RouteWas(
+            name,
+            None if at == SHARED else at,
+            route.share.state(),
+            route.sick,
+            route.cold_at,
+            route.rest_until if route.rest_why is Hold.TOLD_WAIT else 0,
+        )
+        for name, dest in dests.items()
+        for at, route in dest.routes.items()
+    )
 
 
 def recall(dests: Mapping[int, Destination], routes: Sequence[RouteWas]) -> None:
--- a/calicohitch/takeover/copying.py
+++ b/calicohitch/takeover/copying.py
@@ -70,8 +70,9 @@
 
     # Messages.
 
-    def open(self, number: int, part: int, waits: bool, payloads: Callable[[], Sequence[bytes]],
-             needs: bool = False) -> None:
+    def open(
+        self, number: int, part: int, waits: bool, payloads: Callable[[], Sequence[bytes]], needs: bool = False
+    ) -> None:
         """From now on its records are copied."""
         self._messages[number] = Kept(part, waits, payloads, needs)
 
@@ -154,8 +155,9 @@
         link.parts.pop(part, None)
         link.refused.add(part)
 
-    def _send(self, link: Link, frame: frames.Begin | frames.Whole | frames.Record | frames.Drop | frames.Wait,
-              now: float) -> bool:
+    def _send(
+        self, link: Link, frame: frames.Begin | frames.Whole | frames.Record | frames.Drop | frames.Wait, now: float
+    ) -> bool:
         if not link.send(frame):
             # Guards this relay's memory against a holder that does not read: its link is ended, and the others go on.
             self.stuck += 1
@@ -198,8 +200,11 @@
                 link = self.links.get(relay)
                 if link and part not in link.parts and part not in link.refused:
                     self.give(link, part, now)
-            ready = [Holder(relay, self.links[relay].holding) for relay in relays
-                     if relay in self.links and self.links[relay].ready(part) and not late(relay)]
+            ready = [
+                Holder(relay, self.links[relay].holding)
+                for relay in relays
+                if relay in self.links and self.links[relay].ready(part) and not late(relay)
+            ]
             for holder in self.published[part]:  # nobody is left out before another is ready
                 link = self.links.get(holder.relay)
                 kept = link is None or link.holding == holder.holding and part in link.parts
--- a/calicohitch/takeover/holdings.py
+++ b/calicohitch/takeover/holdings.py
@@ -36,8 +36,9 @@
 class Holding:
     """The copies of one owner's work in one epoch. `name` tells this set from another of the same that was lost."""
 
-    def __init__(self, folder: Path, owner: str, epoch: int, parts: int, name: str, budget: int,
-                 gave_up: Iterable[int] = ()) -> None:
+    def __init__(
+        self, folder: Path, owner: str, epoch: int, parts: int, name: str, budget: int, gave_up: Iterable[int] = ()
+    ) -> None:
         """`gave_up`: parts that there was no room for, which are not claimed from here."""
         self.folder, self.owner, self.epoch, self.parts, self.name = folder, owner, epoch, parts, name
         self.gave_up = set(gave_up)
@@ -122,9 +123,19 @@
         found = []
         for entry in self.journal.entries.values():
             if part_of(entry.id, self.parts) in wanted:
-                moved = replace(entry, deadline=entry.deadline + shift, whole_until=entry.whole_until + shift,
-                    attempts=[replace(attempt, sent_at=attempt.sent_at + shift,
-                        until=attempt.until + latest if attempt.until else 0.0) for attempt in entry.attempts])
+                moved = replace(
+                    entry,
+                    deadline=entry.deadline + shift,
+                    whole_until=entry.whole_until + shift,
+                    attempts=[
+                        replace(
+                            attempt,
+                            sent_at=attempt.sent_at + shift,
+                            until=attempt.until + latest if attempt.until else 0.0,
+                        )
+                        for attempt in entry.attempts
+                    ],
+                )
                 moved.doubtful = moved.doubtful or entry.number in self.doubtful
                 found.append(moved)
         self.journal.entries.clear()
@@ -181,8 +192,15 @@
     def _read(self, path: Path) -> Holding:
         told = json.loads((path / _NAME).read_text(encoding="utf-8"))
         owner, epoch = unquote(path.name.rpartition(".")[0]), int(path.name.rpartition(".")[2])
-        return Holding(path, owner, epoch, int(told["parts"]), str(told["name"]), self._budget,
-            [int(part) for part in told.get("gave_up", ())])
+        return Holding(
+            path,
+            owner,
+            epoch,
+            int(told["parts"]),
+            str(told["name"]),
+            self._budget,
+            [int(part) for part in told.get("gave_up", ())],
+        )
 
     @staticmethod
     def _discard(path: Path, err: Exception) -> None:
--- a/calicohitch/takeover/links.py
+++ b/calicohitch/takeover/links.py
@@ -22,15 +22,30 @@
 _AGAIN_S = 0.15
 _AVOID_MS = 2_000.0
 _HELLO_S = 1.0
-BROKEN = (OSError, frames.BadFrame, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError,
-          anyio.ClosedResourceError, StopAsyncIteration)
+BROKEN = (
+    OSError,
+    frames.BadFrame,
+    TimeoutError,
+    anyio.EndOfStream,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+    StopAsyncIteration,
+)
 
 
 class Outward:
     """The owner's ends. `wanted` names the relays to be linked to; `late` tells which of them answer too late."""
 
-    def __init__(self, me: str, copying: Copying, roster: Roster, settings: FleetSettings, now: Callable[[], float],
-                 heard: Callable[[str, float], None], news: News) -> None:
+    def __init__(
+        self,
+        me: str,
+        copying: Copying,
+        roster: Roster,
+        settings: FleetSettings,
+        now: Callable[[], float],
+        heard: Callable[[str, float], None],
+        news: News,
+    ) -> None:
         """`heard`: told for each acknowledgement who gave it, and when what it had heard was sent."""
         self._me, self._copying, self._roster, self._set, self._now = me, copying, roster, settings, now
         self._heard, self._news = heard, news
@@ -70,8 +85,11 @@
                 except* BROKEN as errors:
                     if relay not in self._told:  # once, until it is up again
                         self._told.add(relay)
-                        logger.bind(event="takeover.link", relay=relay).info("the copy link to {} ended: {}", relay,
-                            "; ".join(f"{type(err).__name__} {err}" for err in _leaves(errors)))
+                        logger.bind(event="takeover.link", relay=relay).info(
+                            "the copy link to {} ended: {}",
+                            relay,
+                            "; ".join(f"{type(err).__name__} {err}" for err in _leaves(errors)),
+                        )
                 await anyio.sleep(_AGAIN_S)
 
     async def _once(self, relay: str) -> None:
@@ -83,8 +101,11 @@
             stream = await anyio.connect_tcp(address.host, address.port)
         async with stream:
             outbox = Outbox(self._set.queue_bytes)
-            outbox.put(frames.Hello(frames.VERSION, self._set.name, self._me, self.epoch, self._copying.parts, relay,
-                self._now()))
+            outbox.put(
+                frames.Hello(
+                    frames.VERSION, self._set.name, self._me, self.epoch, self._copying.parts, relay, self._now()
+                )
+            )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._write, outbox, stream, tasks)
                 try:
@@ -139,7 +160,8 @@
                 raise frames.BadFrame(f"{link.relay} denies it: {frame.why}")
             elif isinstance(frame, frames.Full):
                 logger.bind(event="takeover.full", relay=link.relay, part=frame.part).warning(
-                    "{} has no room for part {}: {}", link.relay, frame.part, frame.why)
+                    "{} has no room for part {}: {}", link.relay, frame.part, frame.why
+                )
                 self._copying.full(link, frame.part)
             else:
                 raise frames.BadFrame(f"a holder does not send {type(frame).__name__}")
@@ -149,8 +171,16 @@
 class Inward:
     """The holder's server."""
 
-    def __init__(self, me: str, holdings: Holdings, claims: Claims, roster: Roster, settings: FleetSettings,
-                 now: Callable[[], float], epoch: Callable[[], int]) -> None:
+    def __init__(
+        self,
+        me: str,
+        holdings: Holdings,
+        claims: Claims,
+        roster: Roster,
+        settings: FleetSettings,
+        now: Callable[[], float],
+        epoch: Callable[[], int],
+    ) -> None:
         self._me, self._holdings, self._claims, self._roster = me, holdings, claims, roster
         self._set, self._now, self._epoch = settings, now, epoch
         self._links: dict[str, anyio.CancelScope] = {}
@@ -228,8 +258,9 @@
             if self._links.get(hello.relay) is scope:
                 del self._links[hello.relay]
 
-    def _apply(self, held: Holding, told: list[frames.Frame], heard: float, seq: int) -> tuple[
-            float, int, dict[int, str]]:
+    def _apply(
+        self, held: Holding, told: list[frames.Frame], heard: float, seq: int
+    ) -> tuple[float, int, dict[int, str]]:
         """Write what came. A part that there is no room for is dropped whole, and its owner told."""
         refused: dict[int, str] = {}
         for frame in told:
--- a/calicohitch/takeover/looking.py
+++ b/calicohitch/takeover/looking.py
@@ -33,10 +33,20 @@
 
     def told(self) -> dict[str, object]:
         never = sum(not ran for ran in self.outcomes.values())
-        return {"folder": self.folder, "owner": self.owner or None, "epoch": self.epoch or None, "number": self.number,
-                "class": self.class_name, "dest": self.dest, "deadline_ms": round(self.deadline),
-                "attempts": self.attempts, "may_have_run": self.attempts - never, "end": self.end or None,
-                "closed": self.closed, "origin": self.origin or None}
+        return {
+            "folder": self.folder,
+            "owner": self.owner or None,
+            "epoch": self.epoch or None,
+            "number": self.number,
+            "class": self.class_name,
+            "dest": self.dest,
+            "deadline_ms": round(self.deadline),
+            "attempts": self.attempts,
+            "may_have_run": self.attempts - never,
+            "end": self.end or None,
+            "closed": self.closed,
+            "origin": self.origin or None,
+        }
 
 
 def traces(folder: Path, wire_id: str) -> list[Trace]:
@@ -67,7 +77,8 @@
             entry = read_taken(number, rest)
             if entry.id == wire_id:
                 known.setdefault(
-                    number, Trace(folder, owner, epoch, number, entry.class_name, entry.dest, entry.deadline))
+                    number, Trace(folder, owner, epoch, number, entry.class_name, entry.dest, entry.deadline)
+                )
         elif (trace := known.get(number)) is None:
             return
         elif kind == Kinds.ATTEMPT:
--- a/calicohitch/takeover/manager.py
+++ b/calicohitch/takeover/manager.py
@@ -40,8 +40,17 @@
 class Takeover:
     """One relay's. `run` lasts as long as the relay; `begin` settles whose the folder's messages are."""
 
-    def __init__(self, settings: FleetSettings, name: str, life: int, classes: Sequence[str], folder: Path,
-                 store: Store, now: Callable[[], float], may_hold: Callable[[], bool] = lambda: True) -> None:
+    def __init__(
+        self,
+        settings: FleetSettings,
+        name: str,
+        life: int,
+        classes: Sequence[str],
+        folder: Path,
+        store: Store,
+        now: Callable[[], float],
+        may_hold: Callable[[], bool] = lambda: True,
+    ) -> None:
         """`now`: the relay's clock. `may_hold`: whether the folder is still this life's."""
         self._set, self._name, self._now, self._may_hold = settings, name, now, may_hold
         self._modes = dict(zip(classes, settings.classes, strict=True))
@@ -177,7 +186,8 @@
         async with anyio.create_task_group() as tasks:
             try:
                 listener = await anyio.create_tcp_listener(
-                    local_host=self._set.listen.host, local_port=self._set.listen.port)
+                    local_host=self._set.listen.host, local_port=self._set.listen.port
+                )
             except OSError as err:
                 self._end(FolderProblem(f"copies cannot be taken at {self._set.listen}: {err}"))
                 return
@@ -214,14 +224,16 @@
                 entry.doubtful, entry.whole_until = True, 0.0
         if lost:
             logger.bind(event="takeover.given_away", count=len(lost)).warning(
-                "{} messages of the folder are others' by now, and are dropped here", len(lost))
+                "{} messages of the folder are others' by now, and are dropped here", len(lost)
+            )
         return lost
 
     def _keep_out_of(self, taken: Taken) -> None:
         if taken.doubted:
             logger.bind(event="takeover.doubted").warning(
                 "the coordination store is not the one that this folder knew: what it holds may have been taken over "
-                "before, and goes on as its class allows")
+                "before, and goes on as its class allows"
+            )
 
     def _is_anothers(self, entry: Entry, relay: str, epoch: int) -> bool:
         """Whether a message that this relay claimed in this epoch never became its own."""
@@ -241,7 +253,8 @@
             zones = {relay: member.zone for relay, member in roster.members.items()} | {self._name: self._set.zone}
             wanted = [self._chosen(part, zones) for part in range(self._set.parts)]
             self._out.wanted = ({relay for relays in wanted for relay in relays} | set(self.copying.holders())) - {
-                self._name}
+                self._name
+            }
             self._out.arrange(tasks)
             target = self.copying.arrange(wanted, self._out.late, self._now())
             if target != self.copying.published and not self._publishing and not self._leaving:
@@ -282,7 +295,8 @@
             if done:
                 await self.fleet.read()
                 logger.bind(event="takeover.holders", holders=[[one.relay for one in part] for part in target]).info(
-                    "copies are held by {}", "; ".join(" ".join(one.relay for one in part) or "-" for part in target))
+                    "copies are held by {}", "; ".join(" ".join(one.relay for one in part) or "-" for part in target)
+                )
         finally:
             self._publishing = False
             self.news.tell()
@@ -305,13 +319,17 @@
             now, again = self._now(), float("inf")
             for held in self.holdings:
                 due, later = self.claims.parts_due(
-                    self.fleet.roster, held.owner, held.epoch, now, self.holdings.names())
+                    self.fleet.roster, held.owner, held.epoch, now, self.holdings.names()
+                )
                 due = [part for part in due if part not in held.gave_up]
                 again = min(again, later)
                 if due and not self._leaving and self._may_hold() and self.fleet.registered:
                     await self._take_over(held, due)
-                elif not held.linked and now - held.idle_since > _FORGET_MS and is_over(
-                        self.fleet.roster, held.owner, held.epoch, self._name):
+                elif (
+                    not held.linked
+                    and now - held.idle_since > _FORGET_MS
+                    and is_over(self.fleet.roster, held.owner, held.epoch, self._name)
+                ):
                     self.claims.forget(held.owner, held.epoch)
                     self.holdings.remove(held)
             await self._forget_claims(seen)
@@ -342,7 +360,8 @@
         owner, epoch = held.owner, held.epoch
         self.claims.claiming(owner, epoch)
         done = await self.fleet.commit(
-            self.claims.claim(roster, owner, epoch, parts, self.tenure.epoch, self.fleet.lease))
+            self.claims.claim(roster, owner, epoch, parts, self.tenure.epoch, self.fleet.lease)
+        )
         read = await self.fleet.read()
         if done is None:
             mine = Claim(self._name, self.tenure.epoch)
@@ -358,8 +377,11 @@
             if self.mode(entry.class_name).when != "first":  # what went behind may not have come
                 entry.whole_until = min(entry.whole_until, whole) if entry.doubtful else whole
                 entry.doubtful = True
-        entries = [replace(entry, origin=Origin(owner, epoch, part_of(entry.id, held.parts)))
-                   for entry in entries if not self._is_anothers(entry, owner, epoch)]
+        entries = [
+            replace(entry, origin=Origin(owner, epoch, part_of(entry.id, held.parts)))
+            for entry in entries
+            if not self._is_anothers(entry, owner, epoch)
+        ]
         numbers = relay.take_up(entries)
         with anyio.move_on_after(_ADOPT_S):
             for number in numbers:
@@ -375,15 +397,18 @@
                     adopted = False
                 else:
                     adopted = await self.fleet.commit(
-                        self.claims.adopted(roster, owner, epoch, parts, self.tenure.epoch))
+                        self.claims.adopted(roster, owner, epoch, parts, self.tenure.epoch)
+                    )
         if not adopted:
             logger.bind(event="takeover.lost_claim", owner=owner, epoch=epoch).warning(
-                "parts {} of {} are another's after all: {} messages are dropped", parts, owner, len(numbers))
+                "parts {} of {} are another's after all: {} messages are dropped", parts, owner, len(numbers)
+            )
             relay.drop(numbers)
             return
         self.taken_over += len(numbers)
         logger.bind(event="takeover.adopted", owner=owner, epoch=epoch, parts=parts, messages=len(numbers)).warning(
-            "{} messages of {} are taken over (parts {} of epoch {})", len(numbers), owner, parts, epoch)
+            "{} messages of {} are taken over (parts {} of epoch {})", len(numbers), owner, parts, epoch
+        )
         relay.confirm(numbers, held.told_waits(self._now()))
         for part in parts:
             held.drop(part)
--- a/calicohitch/tracing/asking.py
+++ b/calicohitch/tracing/asking.py
@@ -46,8 +46,14 @@
     child is the relay's own, or after the decided end the notice's."""
     root = message.root
     decided = next((at for at, name in root.events if name == "end decided"), root.end)
-    edges = sorted({root.start, root.end, min(max(decided, root.start), root.end),
-        *(min(max(at, root.start), root.end) for span in message.children for at in (span.start, span.end))})
+    edges = sorted(
+        {
+            root.start,
+            root.end,
+            min(max(decided, root.start), root.end),
+            *(min(max(at, root.start), root.end) for span in message.children for at in (span.start, span.end)),
+        }
+    )
     made: list[Share] = []
     for low, high in zip(edges, edges[1:], strict=False):
         owners = [span for span in message.children if span.start <= low and span.end >= high]
@@ -74,8 +80,13 @@
     """The whole story of a message that is named by its id, or by the start of its trace's or story's id: every
     part of it, at all relays and in all lives, also under the traces that are linked."""
     wanted_hex = wanted.lower()
-    hits = [m for m in messages if str(m.root.told("messaging.message.id")) == wanted
-            or len(wanted_hex) >= 6 and (m.root.trace_id.startswith(wanted_hex) or m.story.startswith(wanted_hex))]
+    hits = [
+        m
+        for m in messages
+        if str(m.root.told("messaging.message.id")) == wanted
+        or len(wanted_hex) >= 6
+        and (m.root.trace_id.startswith(wanted_hex) or m.story.startswith(wanted_hex))
+    ]
     traces = {m.root.trace_id for m in hits} | {trace for m in hits for trace in m.root.links}
     stories = {m.story for m in hits if m.story}
     return [m for m in messages if m.root.trace_id in traces or m.story in stories]
@@ -93,11 +104,13 @@
 
     def matches(self, message: Message) -> bool:
         told = message.root.told
-        return ((not self.class_name or told("calicohitch.class") == self.class_name)
-                and (not self.dest or told("messaging.destination.name") == self.dest)
-                and (not self.cause or told("calicohitch.cause") == self.cause)
-                and (not self.end or told("calicohitch.end") == self.end)
-                and (not self.late or bool(told("calicohitch.late", False))))
+        return (
+            (not self.class_name or told("calicohitch.class") == self.class_name)
+            and (not self.dest or told("messaging.destination.name") == self.dest)
+            and (not self.cause or told("calicohitch.cause") == self.cause)
+            and (not self.end or told("calicohitch.end") == self.end)
+            and (not self.late or bool(told("calicohitch.late", False)))
+        )
 
 
 @dataclass(slots=True)
--- a/calicohitch/tracing/export/collector.py
+++ b/calicohitch/tracing/export/collector.py
@@ -109,7 +109,8 @@
     def _tell(self, what: str) -> None:
         if not self._failing:  # guards the log against a line for each of many failures
             logger.bind(event="tracing.collector").warning(
-                "traces: the collector {} {}; further failures are only counted", self._set.address, what)
+                "traces: the collector {} {}; further failures are only counted", self._set.address, what
+            )
         self._failing = True
 
     def _compressed(self, body: bytes) -> bytes:
--- a/calicohitch/tracing/export/file.py
+++ b/calicohitch/tracing/export/file.py
@@ -62,7 +62,8 @@
         except OSError as err:
             if not self._failing:
                 logger.bind(event="tracing.file").warning(
-                    "traces: {} cannot be written: {}; further failures are only counted", self._set.path, err)
+                    "traces: {} cannot be written: {}; further failures are only counted", self._set.path, err
+                )
             self._failing = True
         finally:
             count = self.queue.settle(batch)
--- a/calicohitch/tracing/export/log.py
+++ b/calicohitch/tracing/export/log.py
@@ -21,17 +21,22 @@
     for span in children:
         took = (span.end_ns - span.start_ns) / 1e6
         if span.kind == CLIENT:
-            outcome = "cut" if span.attributes.get("calicohitch.cut") else span.attributes.get(
-                "calicohitch.outcome", "unknown")
+            outcome = (
+                "cut"
+                if span.attributes.get("calicohitch.cut")
+                else span.attributes.get("calicohitch.outcome", "unknown")
+            )
             attempts.append(f"{outcome}:{took:.0f}")
         else:
             spent[str(span.attributes.get("calicohitch.hold.reason", span.name))] += took
     held = ",".join(f"{why}:{took:.0f}" for why, took in spent.items() if took >= 0.5)
-    return (f"trace={root.trace_id.hex()} id={told['messaging.message.id']} class={told['calicohitch.class']} "
-            f"dest={told['messaging.destination.name']} cause={told['calicohitch.cause']} "
-            f"end={told['calicohitch.end']} ms={(root.end_ns - root.start_ns) / 1e6:.0f} "
-            f"held={held or '-'} attempts={','.join(attempts) or '-'} "
-            f"stands_for={told['calicohitch.adjusted_count']:.6g}")
+    return (
+        f"trace={root.trace_id.hex()} id={told['messaging.message.id']} class={told['calicohitch.class']} "
+        f"dest={told['messaging.destination.name']} cause={told['calicohitch.cause']} "
+        f"end={told['calicohitch.end']} ms={(root.end_ns - root.start_ns) / 1e6:.0f} "
+        f"held={held or '-'} attempts={','.join(attempts) or '-'} "
+        f"stands_for={told['calicohitch.adjusted_count']:.6g}"
+    )
 
 
 class LogExporter:
@@ -48,8 +53,9 @@
             return
         left_out, self._rate.left_out = self._rate.left_out, 0
         root = spans[0]
-        line = logger.bind(event="trace", trace_id=root.trace_id.hex(),
-            message_id=str(root.attributes["messaging.message.id"]))
+        line = logger.bind(
+            event="trace", trace_id=root.trace_id.hex(), message_id=str(root.attributes["messaging.message.id"])
+        )
         line.info("{}{}", summary(spans), f" lines_left_out={left_out}" if left_out else "")
         self.queue.counts.sent += 1
 
--- a/calicohitch/tracing/otlp.py
+++ b/calicohitch/tracing/otlp.py
@@ -31,9 +31,14 @@
 
 def json_span(span: Span) -> dict[str, Any]:
     told: dict[str, Any] = {
-        "traceId": span.trace_id.hex(), "spanId": span.span_id.hex(), "name": span.name, "kind": span.kind,
-        "startTimeUnixNano": str(span.start_ns), "endTimeUnixNano": str(span.end_ns),
-        "attributes": _json_attributes(span.attributes), "flags": span.flags,
+        "traceId": span.trace_id.hex(),
+        "spanId": span.span_id.hex(),
+        "name": span.name,
+        "kind": span.kind,
+        "startTimeUnixNano": str(span.start_ns),
+        "endTimeUnixNano": str(span.end_ns),
+        "attributes": _json_attributes(span.attributes),
+        "flags": span.flags,
     }
     if span.parent_id:
         told["parentSpanId"] = span.parent_id.hex()
@@ -42,9 +47,10 @@
     if span.status:
         told["status"] = {"code": span.status} | ({"message": span.message} if span.message else {})
     if span.links:
-        told["links"] = [{"traceId": trace.hex(), "spanId": at.hex(),
-                          "attributes": _json_attributes({"calicohitch.link": why})}
-                         for trace, at, why in span.links]
+        told["links"] = [
+            {"traceId": trace.hex(), "spanId": at.hex(), "attributes": _json_attributes({"calicohitch.link": why})}
+            for trace, at, why in span.links
+        ]
     if span.events:
         told["events"] = [{"timeUnixNano": str(at), "name": name} for at, name in span.events]
     return told
@@ -52,11 +58,19 @@
 
 def json_line(spans: Sequence[Span], resource: Mapping[str, Value], scope: Mapping[str, Value]) -> bytes:
     """One export request in OTLP's JSON form, on a line of its own."""
-    told = {"resourceSpans": [{
-        "resource": {"attributes": _json_attributes(resource)},
-        "scopeSpans": [{
-            "scope": {"name": SCOPE, "version": __version__, "attributes": _json_attributes(scope)},
-            "spans": [json_span(span) for span in spans]}]}]}
+    told = {
+        "resourceSpans": [
+            {
+                "resource": {"attributes": _json_attributes(resource)},
+                "scopeSpans": [
+                    {
+                        "scope": {"name": SCOPE, "version": __version__, "attributes": _json_attributes(scope)},
+                        "spans": [json_span(span) for span in spans],
+                    }
+                ],
+            }
+        ]
+    }
     return json.dumps(told, separators=(",", ":")).encode() + b"\n"
 
 
@@ -84,9 +98,16 @@
     scope = trace_pb2.ScopeSpans()
     for span in spans:
         told = scope.spans.add(
-            trace_id=span.trace_id, span_id=span.span_id, parent_span_id=span.parent_id, name=span.name,
-            kind=span.kind, start_time_unix_nano=span.start_ns, end_time_unix_nano=span.end_ns,
-            trace_state=span.state, flags=span.flags)
+            trace_id=span.trace_id,
+            span_id=span.span_id,
+            parent_span_id=span.parent_id,
+            name=span.name,
+            kind=span.kind,
+            start_time_unix_nano=span.start_ns,
+            end_time_unix_nano=span.end_ns,
+            trace_state=span.state,
+            flags=span.flags,
+        )
         _fill(told.attributes, span.attributes)
         if span.status:
             told.status.code, told.status.message = span.status, span.message
@@ -110,9 +131,7 @@
     return _varint(number << 3 | 2) + _varint(len(data)) + data
 
 
-def proto_request(
-    pieces: Iterable[bytes], resource: Mapping[str, Value], scope: Mapping[str, Value]
-) -> bytes:
+def proto_request(pieces: Iterable[bytes], resource: Mapping[str, Value], scope: Mapping[str, Value]) -> bytes:
     """An `ExportTraceServiceRequest` of pieces that `proto_spans` made."""
     from opentelemetry.proto.common.v1 import common_pb2
     from opentelemetry.proto.resource.v1 import resource_pb2
--- a/calicohitch/tracing/reading.py
+++ b/calicohitch/tracing/reading.py
@@ -131,11 +131,20 @@
             for span in scope["spans"]:
                 status = span.get("status", {})
                 yield Seen(
-                    span["traceId"], span["spanId"], span.get("parentSpanId", ""), str(span["name"]),
-                    int(span.get("kind", 0)), int(span["startTimeUnixNano"]), int(span["endTimeUnixNano"]),
-                    _attributes(span.get("attributes")), int(status.get("code", 0)), str(status.get("message", "")),
+                    span["traceId"],
+                    span["spanId"],
+                    span.get("parentSpanId", ""),
+                    str(span["name"]),
+                    int(span.get("kind", 0)),
+                    int(span["startTimeUnixNano"]),
+                    int(span["endTimeUnixNano"]),
+                    _attributes(span.get("attributes")),
+                    int(status.get("code", 0)),
+                    str(status.get("message", "")),
                     tuple((int(e["timeUnixNano"]), str(e["name"])) for e in span.get("events", ())),
-                    tuple(str(link["traceId"]) for link in span.get("links", ())), relay)
+                    tuple(str(link["traceId"]) for link in span.get("links", ())),
+                    relay,
+                )
 
 
 def _count(relay: str, told: dict[str, Value], found: Reading) -> None:
@@ -166,8 +175,17 @@
             _count(relay, attributes(scope.scope.attributes), found)
             for span in scope.spans:
                 yield Seen(
-                    span.trace_id.hex(), span.span_id.hex(), span.parent_span_id.hex(), span.name, span.kind,
-                    span.start_time_unix_nano, span.end_time_unix_nano, attributes(span.attributes),
-                    span.status.code, span.status.message,
+                    span.trace_id.hex(),
+                    span.span_id.hex(),
+                    span.parent_span_id.hex(),
+                    span.name,
+                    span.kind,
+                    span.start_time_unix_nano,
+                    span.end_time_unix_nano,
+                    attributes(span.attributes),
+                    span.status.code,
+                    span.status.message,
                     tuple((event.time_unix_nano, event.name) for event in span.events),
-                    tuple(link.trace_id.hex() for link in span.links), relay)
+                    tuple(link.trace_id.hex() for link in span.links),
+                    relay,
+                )
--- a/calicohitch/tracing/sampling.py
+++ b/calicohitch/tracing/sampling.py
@@ -159,5 +159,7 @@
         return kept
 
     def left_out(self) -> LeftOut:
-        return LeftOut({c.value: self.seen[c] for c in Cause if self.seen[c]},
-                       {c.value: self.kept[c] for c in Cause if self.seen[c]})
+        return LeftOut(
+            {c.value: self.seen[c] for c in Cause if self.seen[c]},
+            {c.value: self.kept[c] for c in Cause if self.seen[c]},
+        )
--- a/calicohitch/tracing/spans.py
+++ b/calicohitch/tracing/spans.py
@@ -10,8 +10,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from opentelemetry.semconv.attributes import (error_attributes, http_attributes, network_attributes,
-    server_attributes)
+from opentelemetry.semconv.attributes import error_attributes, http_attributes, network_attributes, server_attributes
 
 from ..interface import Hold, Outcome
 from .context import derived
@@ -68,15 +67,29 @@
         self.facts = facts
         self.root_id = facts.context.span_id
         self.low = max(0, round(facts.taken_at * 1e6))
-        ends = [facts.ended_at, facts.decided_at, facts.taken_at, facts.recovered_at,
-                *(a.ended_at for a in facts.attempts), *(h.until for h in facts.holds)]
+        ends = [
+            facts.ended_at,
+            facts.decided_at,
+            facts.taken_at,
+            facts.recovered_at,
+            *(a.ended_at for a in facts.attempts),
+            *(h.until for h in facts.holds),
+        ]
         self.high = max(self.low, *(round(at * 1e6) for at in ends))
 
     def span(self, what: str, name: str, kind: int, since: float, until: float) -> Span:
         start = min(max(round(since * 1e6), self.low), self.high)
         end = min(max(round(until * 1e6), start), self.high)
-        return Span(self.facts.context.trace_id, derived(self.root_id, what, 8), self.root_id, name, kind,
-            start, end, flags=self.facts.context.flags)
+        return Span(
+            self.facts.context.trace_id,
+            derived(self.root_id, what, 8),
+            self.root_id,
+            name,
+            kind,
+            start,
+            end,
+            flags=self.facts.context.flags,
+        )
 
 
 def spans_of(facts: Facts, timeline: Timeline | None, cause: Cause, adjusted: float) -> list[Span]:
@@ -92,8 +105,18 @@
     if facts.again and facts.story and facts.story != facts.context.trace_id:
         # The client began a new trace; what it handed in before is found by the story that both name.
         links = ((facts.story, derived(facts.story, "story", 8), "handed in again"),)
-    root = Span(facts.context.trace_id, make.root_id, facts.parent, f"relay {facts.class_name}", SERVER,
-        make.low, make.high, state=facts.context.state, flags=facts.context.flags, links=links)
+    root = Span(
+        facts.context.trace_id,
+        make.root_id,
+        facts.parent,
+        f"relay {facts.class_name}",
+        SERVER,
+        make.low,
+        make.high,
+        state=facts.context.state,
+        flags=facts.context.flags,
+        links=links,
+    )
     root.attributes = {
         MESSAGE_ID: facts.id,
         DESTINATION: str(facts.dest),
@@ -190,10 +213,8 @@
     span.attributes[network_attributes.NETWORK_PROTOCOL_NAME] = "http"
     if attempt.status:
         span.attributes[http_attributes.HTTP_RESPONSE_STATUS_CODE] = attempt.status
-    noted = (("connected", attempt.connected_at), ("request sent", attempt.sent_at),
-             ("answer", attempt.answered_at))
-    span.events = tuple((min(max(round(at * 1e6), span.start_ns), span.end_ns), name)
-                        for name, at in noted if at)
+    noted = (("connected", attempt.connected_at), ("request sent", attempt.sent_at), ("answer", attempt.answered_at))
+    span.events = tuple((min(max(round(at * 1e6), span.start_ns), span.end_ns), name) for name, at in noted if at)
 
 
 def _end_of(facts: Facts, attempt: AttemptFacts, make: _Maker) -> float:
--- a/calicohitch/tracing/tracer.py
+++ b/calicohitch/tracing/tracer.py
@@ -96,7 +96,10 @@
         self._unmade_dropped = 0
         self.faults: Counter[str] = Counter()
         self._resource: dict[str, Value] = {
-            "service.name": settings.service, "service.instance.id": name, "service.version": __version__}
+            "service.name": settings.service,
+            "service.instance.id": name,
+            "service.version": __version__,
+        }
         self._exporters: list[Exporter] = []
         self._make_exporters(seed)
         self._ledger: Ledger | None = None
@@ -107,7 +110,8 @@
         if self._ledger and self._ledger.lost:
             self.faults["lost at a kill"] = self._ledger.lost
             logger.bind(event="tracing.lost").warning(
-                "traces: {} were lost when the last process ended", self._ledger.lost)
+                "traces: {} were lost when the last process ended", self._ledger.lost
+            )
 
     def _make_exporters(self, seed: int) -> None:
         """Each way out is imported only where it is switched on."""
@@ -116,7 +120,8 @@
             from .export.collector import CollectorExporter
 
             self._exporters.append(
-                CollectorExporter(settings.collector, self._clock, self._resource, self.left_out, seed))
+                CollectorExporter(settings.collector, self._clock, self._resource, self.left_out, seed)
+            )
         if settings.file:
             from .export.file import FileExporter
 
@@ -160,8 +165,9 @@
         if facts := self._live.pop(number, None):
             self._leave(number, facts)
 
-    def sending(self, number: int, attempt: int, member: Member | None, zone: int,
-                now: float) -> tuple[Sequence[tuple[bytes, bytes]], AttemptFacts | None]:
+    def sending(
+        self, number: int, attempt: int, member: Member | None, zone: int, now: float
+    ) -> tuple[Sequence[tuple[bytes, bytes]], AttemptFacts | None]:
         """An attempt starts: the headers that its call carries, and where it notes its progress."""
         facts = self._live.get(number)
         if facts is None:
@@ -216,9 +222,16 @@
         if len(entry.trace) >= _RECORD.size:
             taken_at, trace, root, parent, flags, again = _RECORD.unpack_from(entry.trace)
             state = entry.trace[_RECORD.size :].decode("latin-1")
-            facts = Facts(entry.id, entry.class_name, entry.dest, taken_at,
-                TraceContext(trace, root, flags, state), parent if any(parent) else b"",
-                w3c.story_of(entry.key) if entry.key else b"", again=again)
+            facts = Facts(
+                entry.id,
+                entry.class_name,
+                entry.dest,
+                taken_at,
+                TraceContext(trace, root, flags, state),
+                parent if any(parent) else b"",
+                w3c.story_of(entry.key) if entry.key else b"",
+                again=again,
+            )
         else:  # taken on by a life without traces
             since = min([now, *(a.sent_at for a in entry.attempts)])
             facts = self._begin(entry.id, entry.class_name, entry.dest, (), entry.key, since, False)
@@ -275,8 +288,9 @@
             dest.asked_again_at = until
             heapq.heappush(self._wakes, (until, name))
 
-    def _begin(self, wire_id: str, class_name: str, dest: int, headers: Headers, key: str | None, now: float,
-               again: bool) -> Facts:
+    def _begin(
+        self, wire_id: str, class_name: str, dest: int, headers: Headers, key: str | None, now: float, again: bool
+    ) -> Facts:
         came, fault = w3c.read(headers)
         if fault:
             self.faults[f"context {fault.value}"] += 1
--- a/calicohitch/wire/http2.py
+++ b/calicohitch/wire/http2.py
@@ -117,8 +117,10 @@
         left = memoryview(data)
         while True:
             self._check()
-            room = min(self._connection.state.local_flow_control_window(self.number),
-                       self._connection.state.max_outbound_frame_size)
+            room = min(
+                self._connection.state.local_flow_control_window(self.number),
+                self._connection.state.max_outbound_frame_size,
+            )
             if room <= 0 and len(left):
                 await self._room.wait()
                 continue
@@ -175,18 +177,24 @@
     ) -> None:
         self._link, self._clock, self._limits, self._on_stream = link, clock, limits, on_stream
         config = h2.config.H2Configuration(
-            client_side=client, header_encoding=False,
+            client_side=client,
+            header_encoding=False,
             # What is sent was read by h2 from the other side, or is made here in the form that it is to have.
-            validate_outbound_headers=False, normalize_outbound_headers=False)
+            validate_outbound_headers=False,
+            normalize_outbound_headers=False,
+        )
         self.state = h2.connection.H2Connection(config)
         self.state.decoder.max_header_list_size = limits.header_list
-        self.state.local_settings = h2.settings.Settings(client=client, initial_values={
-            h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: limits.streams,
-            h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: limits.stream_window,
-            h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: limits.header_list,
-            h2.settings.SettingCodes.MAX_FRAME_SIZE: limits.frame,
-            h2.settings.SettingCodes.ENABLE_PUSH: 0,
-        })
+        self.state.local_settings = h2.settings.Settings(
+            client=client,
+            initial_values={
+                h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: limits.streams,
+                h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: limits.stream_window,
+                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: limits.header_list,
+                h2.settings.SettingCodes.MAX_FRAME_SIZE: limits.frame,
+                h2.settings.SettingCodes.ENABLE_PUSH: 0,
+            },
+        )
         self.streams: dict[int, Http2Stream] = {}
         self._conduct = Conduct()
         self._lock = anyio.Lock()
@@ -209,8 +217,9 @@
         """Whether one more stream may be opened here, by the peer's word."""
         if self.draining or self.gone:
             return False
-        return self.state.open_outbound_streams < min(self.state.remote_settings.max_concurrent_streams,
-                                                      self._limits.streams)
+        return self.state.open_outbound_streams < min(
+            self.state.remote_settings.max_concurrent_streams, self._limits.streams
+        )
 
     def open(self) -> Http2Stream:
         """A new stream of this side."""
--- a/example/demo.py
+++ b/example/demo.py
@@ -93,7 +93,10 @@
         operator, traces = Path(folder) / "operator.kdl", Path(folder) / "traces.jsonl"
         shutil.copy(HERE / "operator.kdl", operator)
         told = json.loads((HERE / "config.json").read_text()) | {
-            "listen": relay, "discovery": f"127.0.0.1:{discovery}", "state": f"{folder}/state"}
+            "listen": relay,
+            "discovery": f"127.0.0.1:{discovery}",
+            "state": f"{folder}/state",
+        }
         (Path(folder) / "config.json").write_text(json.dumps(told))
         env = os.environ | {"NODE_CONFIG": f"{folder}/config.json", "NODE_LOG_LEVEL": "WARNING"}
         program = [sys.executable, "-m", "calicohitch"]
@@ -112,8 +115,12 @@
             process.wait(LIMIT_S)
         print("\nThe slowest of them (calicohitch traces slow traces.jsonl):\n", flush=True)
         subprocess.run([*program, "traces", "slow", str(traces)], cwd=HERE.parent, check=True)
-        slowest = subprocess.run([*program, "traces", "slow", "--json", "-n", "1", "--late", str(traces)],
-            cwd=HERE.parent, check=True, capture_output=True)
+        slowest = subprocess.run(
+            [*program, "traces", "slow", "--json", "-n", "1", "--late", str(traces)],
+            cwd=HERE.parent,
+            check=True,
+            capture_output=True,
+        )
         worst = json.loads(slowest.stdout)[0]["id"]
         print(f"\nThe story of the worst one (calicohitch traces show {worst} traces.jsonl):\n", flush=True)
         return subprocess.run([*program, "traces", "show", worst, str(traces)], cwd=HERE.parent).returncode
--- a/example/demo_fleet.py
+++ b/example/demo_fleet.py
@@ -48,10 +48,12 @@
                 if "are claimed" in line or "are taken over" in line:
                     print(f"{relay}: {line}")
         ended = _ends(rig)
-        print(f"\n{len(ended)} of {MESSAGES} messages that r0 had taken on came to their one end without it: "
-              f"{sum(how == 'delivered' for how in ended.values())} delivered, "
-              f"{sum(how != 'delivered' for how in ended.values())} ended by a notice (an entry that may have run is "
-              "not sent twice)")
+        print(
+            f"\n{len(ended)} of {MESSAGES} messages that r0 had taken on came to their one end without it: "
+            f"{sum(how == 'delivered' for how in ended.values())} delivered, "
+            f"{sum(how != 'delivered' for how in ended.values())} ended by a notice (an entry that may have run is "
+            "not sent twice)"
+        )
         return 0 if len(ended) == MESSAGES else 1
 
 
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -12,9 +12,22 @@
 from urllib.parse import parse_qs, urlsplit
 
 DISCOVERY, ENDPOINT = ("127.0.0.1", 8500), ("127.0.0.1", 8081)
-LIST = {"revision": 1, "complete": True, "members": [
-    {"id": "toy-1", "host_port": f"{ENDPOINT[0]}:{ENDPOINT[1]}", "locality": "here", "flavor": "toys",
-     "cell": 7, "phase": "Ready", "size": 5.0, "up_since_ms": 0}]}
+LIST = {
+    "revision": 1,
+    "complete": True,
+    "members": [
+        {
+            "id": "toy-1",
+            "host_port": f"{ENDPOINT[0]}:{ENDPOINT[1]}",
+            "locality": "here",
+            "flavor": "toys",
+            "cell": 7,
+            "phase": "Ready",
+            "size": 5.0,
+            "up_since_ms": 0,
+        }
+    ],
+}
 NOTHING_NEW = LIST | {"complete": False, "members": []}
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -27,8 +27,14 @@
 
     def __init__(self, seed: int = 7, **changes: Any) -> None:
         told: dict[str, Any] = {
-            "classes": CLASSES, "slots": 8, "open_cap": 60, "max_attempts": 6, "couriers": 2,
-            "max_retry_after": 2 * SECOND, "rules": RULES, "tick": 5 * MS,
+            "classes": CLASSES,
+            "slots": 8,
+            "open_cap": 60,
+            "max_attempts": 6,
+            "couriers": 2,
+            "max_retry_after": 2 * SECOND,
+            "rules": RULES,
+            "tick": 5 * MS,
         }
         self.sender = Sender(i.Settings(**(told | changes)), seed=seed)
         self.now = 1_000 * SECOND
--- a/tests/faults/system.py
+++ b/tests/faults/system.py
@@ -37,10 +37,29 @@
     "close": (errno.EIO, errno.EINTR, errno.ENOSPC),
     "flock": (errno.ENOLCK, errno.EINTR),
     "socket": (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM),
-    "accept": (errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO,
-               errno.ENETDOWN, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.EPERM, errno.ETIMEDOUT),
-    "connect": (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EAGAIN, errno.ENOMEM, errno.ECONNREFUSED,
-                errno.ETIMEDOUT, errno.EHOSTUNREACH),
+    "accept": (
+        errno.ECONNABORTED,
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.EPROTO,
+        errno.ENETDOWN,
+        errno.ENETUNREACH,
+        errno.EHOSTUNREACH,
+        errno.EPERM,
+        errno.ETIMEDOUT,
+    ),
+    "connect": (
+        errno.EADDRNOTAVAIL,
+        errno.ENETUNREACH,
+        errno.ENOBUFS,
+        errno.EAGAIN,
+        errno.ENOMEM,
+        errno.ECONNREFUSED,
+        errno.ETIMEDOUT,
+        errno.EHOSTUNREACH,
+    ),
     "so_error": (errno.ECONNREFUSED, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH),
     "send": (errno.ENOBUFS, errno.ENOMEM, errno.ECONNRESET, errno.EPIPE, errno.ETIMEDOUT, errno.EHOSTUNREACH, SHORT),
     "recv": (errno.ENOMEM, errno.ENOBUFS, errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH),
@@ -187,8 +206,10 @@
     # Sockets and polls.
 
     def _sockets(self) -> list[Any]:
-        return [mock.patch.object(socket, "socket", self._socket_class()),
-                mock.patch.object(selectors.EpollSelector, "_selector_cls", self._poll_class())]
+        return [
+            mock.patch.object(socket, "socket", self._socket_class()),
+            mock.patch.object(selectors.EpollSelector, "_selector_cls", self._poll_class()),
+        ]
 
     def _socket_class(self) -> Any:
         """Sockets of the Internet families fail; those between threads of one process are let through."""
--- a/tests/faults/test_folder.py
+++ b/tests/faults/test_folder.py
@@ -47,8 +47,13 @@
         self.folder = Path(made.name) / "state"
 
     def test_it_waits_for_a_folder_that_refuses_for_a_moment(self) -> None:
-        for name, error in (("open", errno.ENOSPC), ("pwrite", errno.EIO), ("open", errno.ENFILE),
-                            ("listdir", errno.EMFILE), ("unlink", errno.EIO)):
+        for name, error in (
+            ("open", errno.ENOSPC),
+            ("pwrite", errno.EIO),
+            ("open", errno.ENFILE),
+            ("listdir", errno.EMFILE),
+            ("unlink", errno.EIO),
+        ):
             with self.subTest(call=name, error=errno.errorcode[error]):
                 Watcher(self.folder).look().close()  # type: ignore[union-attr]
                 with mock.patch.object(os, name, for_a_while(getattr(os, name), error)):
@@ -59,8 +64,10 @@
     def test_it_says_at_once_what_no_waiting_mends(self) -> None:
         for error in (errno.EROFS, errno.EACCES):
             began = time.monotonic()
-            with (mock.patch.object(os, "open", side_effect=OSError(error, os.strerror(error))),
-                  self.assertRaises(FolderProblem)):
+            with (
+                mock.patch.object(os, "open", side_effect=OSError(error, os.strerror(error))),
+                self.assertRaises(FolderProblem),
+            ):
                 anyio.run(claimed, self.folder, 5.0)
             self.assertLess(time.monotonic() - began, 1.0)
 
@@ -70,15 +77,17 @@
             journal.taken(Entry(1, "m1", "orders", 7, world.clock.now() + 20_000, "k", b"body"))
             journal.close()
             program = Program(world)
-            code = ("import io, os, runpy, sys\n"
-                    "real, left = io.open, [3]\n"
-                    "def failing(path, *rest, **more):\n"
-                    "    if 'journal-' in str(path) and left[0]:\n"
-                    "        left[0] -= 1\n"
-                    "        raise OSError(5, 'Input/output error')\n"
-                    "    return real(path, *rest, **more)\n"
-                    "io.open = failing; sys.argv[1:] = ['serve']\n"
-                    "runpy.run_module('calicohitch', run_name='__main__')\n")
+            code = (
+                "import io, os, runpy, sys\n"
+                "real, left = io.open, [3]\n"
+                "def failing(path, *rest, **more):\n"
+                "    if 'journal-' in str(path) and left[0]:\n"
+                "        left[0] -= 1\n"
+                "        raise OSError(5, 'Input/output error')\n"
+                "    return real(path, *rest, **more)\n"
+                "io.open = failing; sys.argv[1:] = ['serve']\n"
+                "runpy.run_module('calicohitch', run_name='__main__')\n"
+            )
             with ending(program.spawn([sys.executable, "-c", code])) as process:
                 await program.until_ready()
                 with anyio.move_on_after(5):
@@ -167,16 +176,18 @@
         """The whole program: writes to its folder fail from some moment on, for longer than a claim's term."""
         program = Program(world)
         sign = world.folder / "refuses"
-        code = ("import os, runpy, sys\n"
-                "def failing(real):\n"
-                "    def call(fd, *rest):\n"
-                f"        if os.path.exists({str(sign)!r}) and os.path.isfile(f'/proc/self/fd/{{fd}}'):\n"
-                "            raise OSError(5, 'Input/output error')\n"
-                "        return real(fd, *rest)\n"
-                "    return call\n"
-                "os.write, os.pwrite, os.ftruncate = map(failing, (os.write, os.pwrite, os.ftruncate))\n"
-                "sys.argv[1:] = ['serve']\n"
-                "runpy.run_module('calicohitch', run_name='__main__')\n")
+        code = (
+            "import os, runpy, sys\n"
+            "def failing(real):\n"
+            "    def call(fd, *rest):\n"
+            f"        if os.path.exists({str(sign)!r}) and os.path.isfile(f'/proc/self/fd/{{fd}}'):\n"
+            "            raise OSError(5, 'Input/output error')\n"
+            "        return real(fd, *rest)\n"
+            "    return call\n"
+            "os.write, os.pwrite, os.ftruncate = map(failing, (os.write, os.pwrite, os.ftruncate))\n"
+            "sys.argv[1:] = ['serve']\n"
+            "runpy.run_module('calicohitch', run_name='__main__')\n"
+        )
         world.hold()
         with ending(program.spawn([sys.executable, "-c", code])) as process:
             await program.until_ready()
--- a/tests/faults/test_many_endpoints.py
+++ b/tests/faults/test_many_endpoints.py
@@ -20,8 +20,11 @@
 
 
 def directory() -> Directory:
-    return Directory(parse({"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "state": "/tmp",
-                            "settings": SETTINGS}).names)
+    return Directory(
+        parse(
+            {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "state": "/tmp", "settings": SETTINGS}
+        ).names
+    )
 
 
 def told(revision: int, items: list[dict[str, Any]]) -> Any:
@@ -40,8 +43,15 @@
         second = known.read(told(2, items)).told()
         self.assertEqual(second.kind, ListKind.DELTA)
         found = {entry.endpoint: (entry.phase, entry.weight) for entry in second.entries}
-        self.assertEqual(found, {known.number("t-3"): (Phase.DRAINING, 2.0), known.number("t-7"): (Phase.READY, 9.0),
-                                 known.number("t-new"): (Phase.READY, 2.0), gone: (Phase.GONE, 2.0)})
+        self.assertEqual(
+            found,
+            {
+                known.number("t-3"): (Phase.DRAINING, 2.0),
+                known.number("t-7"): (Phase.READY, 9.0),
+                known.number("t-new"): (Phase.READY, 2.0),
+                gone: (Phase.GONE, 2.0),
+            },
+        )
         self.assertEqual(known.read(told(3, items)).told().entries, second.entries[:1])  # who drains is told again
         self.assertEqual(len(known), 40)
 
@@ -51,8 +61,10 @@
         ahead, plain = directory(), directory()
         list_ = told(1, items)
         ahead.read_ahead(list_["members"][:20])
-        self.assertEqual({e.dest: e.weight for e in ahead.read(list_).entries},
-                         {e.dest: e.weight for e in plain.read(told(1, items)).entries})
+        self.assertEqual(
+            {e.dest: e.weight for e in ahead.read(list_).entries},
+            {e.dest: e.weight for e in plain.read(told(1, items)).entries},
+        )
         self.assertEqual(sorted(one["id"] for one in ahead.told()), sorted(one["id"] for one in plain.told()))
 
     def test_what_is_stored_of_it_follows_changes(self) -> None:
--- a/tests/faults/test_sockets.py
+++ b/tests/faults/test_sockets.py
@@ -19,8 +19,10 @@
 from calicohitch.net.http import ClientConnection, Link
 
 OF_THIS_MACHINE = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EAGAIN, errno.ENOMEM)
-MESSAGE = (b"POST /orders HTTP/1.1\r\nHost: r\r\nReq-Id: %s\r\nReq-Deadline-Ms: 5000\r\nEnvelope: dest=7\r\n"
-           b"Idempotency-Key: k1\r\nContent-Length: 0\r\n\r\n")
+MESSAGE = (
+    b"POST /orders HTTP/1.1\r\nHost: r\r\nReq-Id: %s\r\nReq-Deadline-Ms: 5000\r\nEnvelope: dest=7\r\n"
+    b"Idempotency-Key: k1\r\nContent-Length: 0\r\n\r\n"
+)
 
 
 async def answer_of(link: Link) -> bytes:
@@ -41,13 +43,17 @@
     async def test_trouble_of_this_machine_costs_a_message_nothing(self, world: World) -> None:
         """Neither a try nor the endpoint's health: the connect is made again, and the only attempt is the one made."""
         for name in ("connect", "socket"):
-            for error in (errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL) if name == "connect" else (
-                    errno.ENOBUFS, errno.ENOMEM, errno.ENFILE):
+            for error in (
+                (errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+                if name == "connect"
+                else (errno.ENOBUFS, errno.ENOMEM, errno.ENFILE)
+            ):
                 with self.subTest(call=name, error=errno.errorcode[error]):
                     open_, left = ClientConnection.open, [3]
 
-                    async def fails(*args: Any, open_: Any = open_, left: list[int] = left, error: int = error,
-                                    **more: Any) -> ClientConnection:
+                    async def fails(
+                        *args: Any, open_: Any = open_, left: list[int] = left, error: int = error, **more: Any
+                    ) -> ClientConnection:
                         if left[0]:
                             left[0] -= 1
                             raise OSError(error, os.strerror(error))
@@ -153,8 +159,11 @@
                     async with world.relay():
                         client = await Link.connect(world.client)
                         refuses[0] = True
-                        await client.send((MESSAGE % f"o{error}".encode()).replace(
-                            b"Content-Length: 0\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
+                        await client.send(
+                            (MESSAGE % f"o{error}".encode()).replace(
+                                b"Content-Length: 0\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+                            )
+                        )
                         self.assertIn(b" 202 ", await answer_of(client))
                         refuses[0] = False
                         client.close()
@@ -162,8 +171,14 @@
 
 class Accepts(unittest.TestCase):
     def test_one_that_left_while_it_waited_costs_nobody_a_place(self) -> None:
-        for error in (errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.EHOSTUNREACH, errno.ENOBUFS,
-                      errno.ENFILE):
+        for error in (
+            errno.ECONNABORTED,
+            errno.EPROTO,
+            errno.ENETDOWN,
+            errno.EHOSTUNREACH,
+            errno.ENOBUFS,
+            errno.ENFILE,
+        ):
             with self.subTest(error=errno.errorcode[error]):
                 play(lambda world, error=error: self._accepts(world, error))  # type: ignore[misc]
 
--- a/tests/fleet/auditor.py
+++ b/tests/fleet/auditor.py
@@ -52,8 +52,11 @@
 
     def peak(self, since: float, until: float, *kinds: str, span_s: float = BUCKET_S, **facts: object) -> int:
         """The most events of some kinds, with these facts, that any span of such a length in the time has."""
-        times = [event.at for event in self.story.of(*kinds) if since <= event.at <= until
-                 and all(event.facts.get(name) == value for name, value in facts.items())]
+        times = [
+            event.at
+            for event in self.story.of(*kinds)
+            if since <= event.at <= until and all(event.facts.get(name) == value for name, value in facts.items())
+        ]
         first, most = 0, 0
         for n, at in enumerate(times):
             while times[first] <= at - span_s:
@@ -67,8 +70,11 @@
         for dest, limit in limits.items():
             most = self.peak(since, until, "call", span_s=1.0, dest=dest)
             if most > 1.3 * limit + relays + 1:
-                self.findings.append(Finding("stampede", since, (), f"{most} calls in a second at destination {dest}, "
-                                             f"whose limit is {limit}"))
+                self.findings.append(
+                    Finding(
+                        "stampede", since, (), f"{most} calls in a second at destination {dest}, whose limit is {limit}"
+                    )
+                )
             opened = self.peak(since, until, "connected", dest=dest)
             if opened > relays + 0.4 * limit:
                 self.findings.append(Finding("stampede", since, (), f"{opened} connections in 100 ms at {dest}"))
@@ -79,11 +85,15 @@
         return {finding.rule for finding in self.findings}
 
     def text(self, most: int = 5) -> str:
-        lines = [f"seed {self.seed}: {len(self.findings)} findings, {self.taken} taken, {self.delivered} delivered, "
-                 f"{self.ended} ended by notice"]
+        lines = [
+            f"seed {self.seed}: {len(self.findings)} findings, {self.taken} taken, {self.delivered} delivered, "
+            f"{self.ended} ended by notice"
+        ]
         for found in self.findings[:most]:
-            lines += [f"[{found.rule}] {found.at:.3f} s {' '.join(found.ids)}: {found.seen}",
-                      self.story.about(set(found.ids))]
+            lines += [
+                f"[{found.rule}] {found.at:.3f} s {' '.join(found.ids)}: {found.seen}",
+                self.story.about(set(found.ids)),
+            ]
         return "\n".join(lines)
 
 
@@ -121,8 +131,16 @@
         report.findings.sort(key=lambda finding: finding.at)
         return report
 
-    def _ends(self, story: Story, report: Report, handed: dict[str, Event], taken: dict[str, Event],
-              calls: dict[str, list[Event]], answers: dict[int, Event], notices: dict[str, list[Event]]) -> None:
+    def _ends(
+        self,
+        story: Story,
+        report: Report,
+        handed: dict[str, Event],
+        taken: dict[str, Event],
+        calls: dict[str, list[Event]],
+        answers: dict[int, Event],
+        notices: dict[str, list[Event]],
+    ) -> None:
         """Each message that a client was told is taken on has one end, in time."""
         ready: dict[str, list[float]] = defaultdict(list)
         for event in story.of("ready"):
@@ -134,16 +152,22 @@
         for wire_id, told in taken.items():
             report.taken += 1
             deadline = handed[wire_id].at + handed[wire_id].left_s
-            good = [answers[call.call] for call in calls.get(wire_id, ()) if call.call in answers
-                    and answers[call.call].facts.get("status") == 200]
+            good = [
+                answers[call.call]
+                for call in calls.get(wire_id, ())
+                if call.call in answers and answers[call.call].facts.get("status") == 200
+            ]
             ends = notices.get(wire_id, [])
             due = deadline + END_S + SLACK_S
             due += self._stalled(told.at, due)
             away = [event for event in gone[told.relay] if event.at < due]
             if self._taken_over_s is not None:
                 due = max([due, *(event.at + self._taken_over_s + SLACK_S for event in away)])
-            elif any(event.what in ("lost", "left") for event in away
-                     if event.at >= self._written(handed[wire_id], told, away)):
+            elif any(
+                event.what in ("lost", "left")
+                for event in away
+                if event.at >= self._written(handed[wire_id], told, away)
+            ):
                 continue  # its folder is gone, or its relay was not started again before the end
             if away:
                 heirs = [told.relay, *(event.to for event in away if event.what == "handed on")]
@@ -169,8 +193,15 @@
         kills = [event.at for event in away if event.what == "SIGKILL" and handed.at <= event.at <= told.at]
         return min([told.at, *kills])
 
-    def _one_message(self, report: Report, handed: Event | None, wire_id: str, made: list[Event],
-                     answers: dict[int, Event], taken: bool) -> None:
+    def _one_message(
+        self,
+        report: Report,
+        handed: Event | None,
+        wire_id: str,
+        made: list[Event],
+        answers: dict[int, Event],
+        taken: bool,
+    ) -> None:
         """Two attempts are never out at once, and one that may have run is repeated only as its class allows."""
         if handed is None:
             report.findings.append(Finding("unknown", made[0].at, (wire_id,), "no client handed this in"))
@@ -181,15 +212,20 @@
             for earlier in made[:n]:
                 over = answers.get(earlier.call)
                 if over is None or over.at > call.at + SLACK_S:  # the end of a connection is heard a little later
-                    report.findings.append(Finding("two out", call.at, (wire_id,), f"the call of {earlier.at:.3f} s is "
-                                                   "still out"))
+                    report.findings.append(
+                        Finding("two out", call.at, (wire_id,), f"the call of {earlier.at:.3f} s is still out")
+                    )
             if first_ran is not None and cls.effect == "unsafe":
                 report.findings.append(Finding("repeat", call.at, (wire_id,), "it may have run, and may not again"))
             forgotten = (first_ran or 0.0) + cls.window_s + SLACK_S
-            if first_ran is not None and cls.effect == "keyed" and call.at > forgotten + self._stalled(
-                    forgotten, call.at):
-                report.findings.append(Finding("repeat", call.at, (wire_id,), f"its key of {first_ran:.3f} s is "
-                                               "forgotten"))
+            if (
+                first_ran is not None
+                and cls.effect == "keyed"
+                and call.at > forgotten + self._stalled(forgotten, call.at)
+            ):
+                report.findings.append(
+                    Finding("repeat", call.at, (wire_id,), f"its key of {first_ran:.3f} s is forgotten")
+                )
             answer = answers.get(call.call)
             if first_ran is None and not (answer and answer.facts.get("status") in NEVER_RAN):
                 first_ran = call.at
@@ -206,9 +242,16 @@
                 for name in event.draining:
                     since.setdefault((event.relay, name), event.at)
             elif (at := since.get((event.relay, event.endpoint))) and (
-                    event.at > at + self._drain_s + SLACK_S + self._stalled(at, event.at)):
-                report.findings.append(Finding("drain", event.at, (event.id,),
-                    f"{event.endpoint} drains since {at:.3f} s, and {event.relay} was told"))
+                event.at > at + self._drain_s + SLACK_S + self._stalled(at, event.at)
+            ):
+                report.findings.append(
+                    Finding(
+                        "drain",
+                        event.at,
+                        (event.id,),
+                        f"{event.endpoint} drains since {at:.3f} s, and {event.relay} was told",
+                    )
+                )
 
     def _waits(self, story: Story, report: Report) -> None:
         until: dict[tuple[str, int], tuple[float, float]] = {}
@@ -221,8 +264,14 @@
             elif span := until.get((event.relay, event.dest)):
                 told = span[0] + WAIT_GRACE_S + SLACK_S
                 if told + self._stalled(span[0], event.at) < event.at < span[1] - SLACK_S:
-                    report.findings.append(Finding("wait", event.at, (event.id,), f"{event.relay} was told at "
-                                                   f"{span[0]:.3f} s to wait until {span[1]:.3f} s"))
+                    report.findings.append(
+                        Finding(
+                            "wait",
+                            event.at,
+                            (event.id,),
+                            f"{event.relay} was told at {span[0]:.3f} s to wait until {span[1]:.3f} s",
+                        )
+                    )
 
     def _stopped(self, story: Story, report: Report) -> None:
         """Once a relay was replaced, nothing comes from its earlier life: told by the links, which are a life's own."""
@@ -231,5 +280,6 @@
             if event.kind == "replaced":
                 replaced[event.relay] = event.at
             elif (at := replaced.get(event.facts.get("relay", ""))) and event.facts.get("status", 202) in (200, 202):
-                report.findings.append(Finding("earlier life", event.at, (event.id,), f"{event.relay} was replaced at "
-                                               f"{at:.3f} s"))
+                report.findings.append(
+                    Finding("earlier life", event.at, (event.id,), f"{event.relay} was replaced at {at:.3f} s")
+                )
--- a/tests/fleet/fleet_rig.py
+++ b/tests/fleet/fleet_rig.py
@@ -19,8 +19,18 @@
 class FleetRig(Rig):
     """`store[relay]` and `copies[relay]` are links. `classes`: KDL lines for the classes; all are copied first."""
 
-    def __init__(self, seed: int, relays: int, dests: Iterable[Destination] = (), copies: int = 1, code: str = "",
-                 classes: str = "", zones: int = 1, grace_ms: int = 0, **other: Any) -> None:
+    def __init__(
+        self,
+        seed: int,
+        relays: int,
+        dests: Iterable[Destination] = (),
+        copies: int = 1,
+        code: str = "",
+        classes: str = "",
+        zones: int = 1,
+        grace_ms: int = 0,
+        **other: Any,
+    ) -> None:
         super().__init__(seed, relays, dests, code=code, **other)
         self.etcd = Etcd()
         self.store: dict[str, TcpLink] = {}
@@ -53,7 +63,8 @@
             f'  listen "127.0.0.1:{listen}" advertise="127.0.0.1:{self.copies[name].port}"\n'
             f"  lease ttl-ms={TTL_S * 1e3:.0f} renew-ms=500 pause-ms=200 grace-ms={self._grace_ms}\n"
             f"  copies count={self._copies} parts=3 hold-mb=0.8 timeout-ms=300\n"
-            f"  {self._classes}\n}}\n")
+            f"  {self._classes}\n}}\n"
+        )
         relay.arguments = ["serve", "--operator", str(operator)]
         return relay
 
--- a/tests/fleet/links.py
+++ b/tests/fleet/links.py
@@ -97,8 +97,10 @@
                 await asyncio.sleep(0.05)
             back, onward = await asyncio.open_connection(*self._to)
             self._names[onward.get_extra_info("sockname")[1]] = self.name
-            pumps = [asyncio.ensure_future(self._pump(reader, onward, True)),
-                     asyncio.ensure_future(self._pump(back, writer, False))]
+            pumps = [
+                asyncio.ensure_future(self._pump(reader, onward, True)),
+                asyncio.ensure_future(self._pump(back, writer, False)),
+            ]
             try:
                 await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
             finally:
@@ -133,7 +135,8 @@
     """Close so that the other end is told by a reset."""
     with suppress(OSError, AttributeError):
         writer.get_extra_info("socket").setsockopt(
-            socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\x00\x00\x00\x00\x00\x00\x00")
+            socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\x00\x00\x00\x00\x00\x00\x00"
+        )
     writer.close()
 
 
--- a/tests/fleet/notes.py
+++ b/tests/fleet/notes.py
@@ -38,11 +38,11 @@
                     link = self.links[i, j] = UdpLink(("127.0.0.1", self.ports[j]), self._seed + i * count + j)
                     await link.start()
         for j in range(count):
-            self.peers.append([f"127.0.0.1:{self.links[i, j].port if i != j else self.ports[j]}"
-                               for i in range(count)])
+            self.peers.append([f"127.0.0.1:{self.links[i, j].port if i != j else self.ports[j]}" for i in range(count)])
             carry = [self.links[j, other] for other in range(count) if other != j]
-            transport, _ = await loop.create_datagram_endpoint(lambda carry=carry: _All(carry),
-                local_addr=("127.0.0.1", 0))
+            transport, _ = await loop.create_datagram_endpoint(
+                lambda carry=carry: _All(carry), local_addr=("127.0.0.1", 0)
+            )
             self._transports.append(transport)
             self.everyone.append(f"127.0.0.1:{transport.get_extra_info('sockname')[1]}")
 
