--- a/tests/fleet/play.py
+++ b/tests/fleet/play.py
@@ -28,8 +28,11 @@
         return name, f"{name} seed {seed}: {type(err).__name__}: {err}", True
     if story:
         report.story.save(story)
-    return name, f"{name} {report.text()} on time {report.on_time}, refused above limits {report.above}", bool(
-        report.findings)
+    return (
+        name,
+        f"{name} {report.text()} on time {report.on_time}, refused above limits {report.above}",
+        bool(report.findings),
+    )
 
 
 def main() -> int:
@@ -45,12 +48,16 @@
     first, _, last = told.seeds.partition("-")
     names = told.scenario or list(TAKEOVERS if told.takeovers else SCENARIOS)
     seeds = range(int(first), int(last or first) + 1)
-    runs = ([(names[n % len(names)], seed) for n, seed in enumerate(seeds)] if told.in_turn else
-            [(name, seed) for seed in seeds for name in names])
+    runs = (
+        [(names[n % len(names)], seed) for n, seed in enumerate(seeds)]
+        if told.in_turn
+        else [(name, seed) for seed in seeds for name in names]
+    )
     began, bad, played = time.monotonic(), Counter[str](), Counter[str]()
     with ProcessPoolExecutor(told.workers, get_context("spawn")) as pool:
-        for name, text, found in pool.map(play, *zip(*runs, strict=True), itertools.repeat(told.mutant),
-                                          itertools.repeat(told.story)):
+        for name, text, found in pool.map(
+            play, *zip(*runs, strict=True), itertools.repeat(told.mutant), itertools.repeat(told.story)
+        ):
             played[name] += 1
             bad[name] += found
             print(text, flush=True)
--- a/tests/fleet/rig.py
+++ b/tests/fleet/rig.py
@@ -41,8 +41,16 @@
 _TICK_S, _STALL_S = 0.02, 0.05
 
 SERVICES: list[dict[str, Any]] = [
-    {"name": "orders", "effect": "keyed", "group": "all", "on_time": 2_500_000, "hard_limit": 8_000_000,
-     "window": 6_000_000, "importance": 1.0, "late_worth": 0.3},
+    {
+        "name": "orders",
+        "effect": "keyed",
+        "group": "all",
+        "on_time": 2_500_000,
+        "hard_limit": 8_000_000,
+        "window": 6_000_000,
+        "importance": 1.0,
+        "late_worth": 0.3,
+    },
     {"name": "scores", "effect": "safe", "on_time": 1_000_000, "hard_limit": 4_000_000, "importance": 2.0},
     {"name": "entries", "effect": "unsafe", "on_time": 2_500_000, "hard_limit": 8_000_000, "importance": 1.0},
 ]
@@ -52,13 +60,28 @@
 def settings(relays: int, number: int) -> dict[str, Any]:
     return {
         "services": SERVICES,
-        "caps": {"open_cap": 400, "send_cap": 8, "conn_idle": 10_000_000, "connect_timeout": 1_500_000,
-                 "retry_after": True, "max_retry_after": 3_000_000},
+        "caps": {
+            "open_cap": 400,
+            "send_cap": 8,
+            "conn_idle": 10_000_000,
+            "connect_timeout": 1_500_000,
+            "retry_after": True,
+            "max_retry_after": 3_000_000,
+        },
         "family_info": {"call_slots": 40, "batch_by_kind": [1]},
-        "obligations": {"stop_sending_within": 250_000, "ramp_time": 10_000_000, "cold_from": 0.3,
-                        "tip_multiple": 1.5, "fall": 2_000_000},
+        "obligations": {
+            "stop_sending_within": 250_000,
+            "ramp_time": 10_000_000,
+            "cold_from": 0.3,
+            "tip_multiple": 1.5,
+            "fall": 2_000_000,
+        },
         "load_report": {"names": ["x0", "x1"], "via": "answers"},
-        "weights": "rough", "balancers": relays, "self_index": number, "zones": ["a"], "flavors": ["x"],
+        "weights": "rough",
+        "balancers": relays,
+        "self_index": number,
+        "zones": ["a"],
+        "flavors": ["x"],
         "client_habits": {"marks_retry": True},
     }
 
@@ -104,16 +127,28 @@
 class Rig:
     """`code`: run before the program in each relay's process, as mutants are (`fleet/mutants.py`)."""
 
-    def __init__(self, seed: int, relays: int, dests: Iterable[Destination] = (), endpoints: int = 2, code: str = "",
-                 root: Path = ROOT, told: int | None = None, notes: bool = False) -> None:
+    def __init__(
+        self,
+        seed: int,
+        relays: int,
+        dests: Iterable[Destination] = (),
+        endpoints: int = 2,
+        code: str = "",
+        root: Path = ROOT,
+        told: int | None = None,
+        notes: bool = False,
+    ) -> None:
         """`told`: how many relays the settings speak of, if not as many as there are. `notes`: they may tell each
         other, by links of `self.notes`."""
         self.seed, self._code, self._root = seed, code, root
         self.random = random.Random(seed)
         self.story = Story(seed)
         self.dests = {dest.number: dest for dest in dests or (Destination(1), Destination(2))}
-        self.endpoints = {f"s-{dest.number}-{n}": Endpoint(f"s-{dest.number}-{n}", dest, self.story, seed)
-                          for dest in self.dests.values() for n in range(endpoints)}
+        self.endpoints = {
+            f"s-{dest.number}-{n}": Endpoint(f"s-{dest.number}-{n}", dest, self.story, seed)
+            for dest in self.dests.values()
+            for n in range(endpoints)
+        }
         self.discovery = Discovery(self.story, self._places)
         self.relays: dict[str, Relay] = {}
         self._count, self._told = relays, told or relays
@@ -177,12 +212,20 @@
             relay.links[at] = TcpLink(name, endpoint.server.address, endpoint.server.names)
             await relay.links[at].start()
         config: dict[str, Any] = {
-            "name": name, "listen": f"127.0.0.1:{relay.port}", "discovery": f"127.0.0.1:{discovery.port}",
-            "state": str(state or relay.state), "seed": self.random.getrandbits(32),
-            "limits": {"sockets": 512, "disk_mb": 3}, "settings": settings(self._told, number)}
+            "name": name,
+            "listen": f"127.0.0.1:{relay.port}",
+            "discovery": f"127.0.0.1:{discovery.port}",
+            "state": str(state or relay.state),
+            "seed": self.random.getrandbits(32),
+            "limits": {"sockets": 512, "disk_mb": 3},
+            "settings": settings(self._told, number),
+        }
         if self.notes:
-            config |= {"peer_listen": f"127.0.0.1:{self.notes.ports[number]}", "peers": self.notes.peers[number],
-                       "peers_all": self.notes.everyone[number]}
+            config |= {
+                "peer_listen": f"127.0.0.1:{self.notes.ports[number]}",
+                "peers": self.notes.peers[number],
+                "peers_all": self.notes.everyone[number],
+            }
             config["settings"]["caps"]["peer_messages"] = True
         (folder / "config.json").write_text(json.dumps(config))
         return relay
@@ -195,11 +238,14 @@
         env = {key: value for key, value in os.environ.items() if not key.startswith("NODE_")}
         env |= {"NODE_CONFIG": str(relay.folder / "config.json"), "PYTHONPATH": f"{self._root}:{ROOT / 'tests'}"}
         first = _WITH_PARENT.format(parent=os.getpid())
-        code = (f"{first}\n{self._code}\n{code}\nimport sys; sys.argv[1:] = {relay.arguments!r}\n"
-                "from calicohitch.commands import main\nsys.exit(main())")
+        code = (
+            f"{first}\n{self._code}\n{code}\nimport sys; sys.argv[1:] = {relay.arguments!r}\n"
+            "from calicohitch.commands import main\nsys.exit(main())"
+        )
         with (relay.folder / "log").open("ab") as log:
-            relay.process = subprocess.Popen([sys.executable, "-B", "-c", code], env=env, cwd=self._root, stderr=log,
-                stdout=log)
+            relay.process = subprocess.Popen(
+                [sys.executable, "-B", "-c", code], env=env, cwd=self._root, stderr=log, stdout=log
+            )
         relay.ready_at = -1.0
         self.story.tell("life", relay=name)
         return relay
@@ -294,8 +340,13 @@
         self._tasks.add(task)
         return task
 
-    def load(self, seconds: float, per_s: float, classes: tuple[str, ...] = ("orders", "scores", "entries"),
-             left_s: float | None = None) -> asyncio.Task[Any]:
+    def load(
+        self,
+        seconds: float,
+        per_s: float,
+        classes: tuple[str, ...] = ("orders", "scores", "entries"),
+        left_s: float | None = None,
+    ) -> asyncio.Task[Any]:
         """Clients hand messages in, at seeded times, at a relay drawn from those that are ready."""
         return self.during(lambda: self._load(seconds, per_s, classes, left_s))
 
@@ -311,12 +362,15 @@
     async def hand_in(self, cls: str, dest: int, relay: Relay, wire_id: str, left_s: float, mark: str = "") -> int:
         """Hand one message in; the status, or 0 without an answer."""
         service = next(item for item in SERVICES if item["name"] == cls)
-        self.story.tell("handed", id=wire_id, cls=cls, dest=dest, relay=relay.name, left_s=left_s,
-            aim_s=service["on_time"] / 1e6)
+        self.story.tell(
+            "handed", id=wire_id, cls=cls, dest=dest, relay=relay.name, left_s=left_s, aim_s=service["on_time"] / 1e6
+        )
         retry = f"Req-Retry: {mark}\r\n" if mark else ""
-        head = (f"POST /{cls} HTTP/1.1\r\nHost: x\r\nReq-Id: {wire_id}\r\nReq-Deadline-Ms: {left_s * 1e3:.0f}\r\n"
-                f"Envelope: dest={dest}\r\nIdempotency-Key: key-{wire_id.partition('.')[0]}\r\n{retry}"
-                "Content-Length: 4\r\nConnection: close\r\n\r\nbody")
+        head = (
+            f"POST /{cls} HTTP/1.1\r\nHost: x\r\nReq-Id: {wire_id}\r\nReq-Deadline-Ms: {left_s * 1e3:.0f}\r\n"
+            f"Envelope: dest={dest}\r\nIdempotency-Key: key-{wire_id.partition('.')[0]}\r\n{retry}"
+            "Content-Length: 4\r\nConnection: close\r\n\r\nbody"
+        )
         status, again_s, closed = 0, 0.0, False
         try:
             status, again_s = await asyncio.wait_for(_ask(relay.port, head.encode()), _ANSWER_S)
@@ -373,7 +427,7 @@
 
 
 def _broke(name: str, log: str, at: float) -> Finding:
-    last = log[log.rindex("Traceback"):]
+    last = log[log.rindex("Traceback") :]
     return Finding("broke off", at, (), f"{name}: {last[:1_500]}\n...\n{last[-2_000:]}")
 
 
--- a/tests/fleet/scenarios.py
+++ b/tests/fleet/scenarios.py
@@ -27,8 +27,16 @@
     return Destination(1, limit, tells_wait_ms=wait_ms), Destination(2, limit, tells_wait_ms=wait_ms)
 
 
-async def _herd(seed: int, code: str, relays: int, killed: int, between: Callable[[Rig, list[str]], None] | None = None,
-                limit: float = 60.0, again_after_s: float | None = None, seconds: float = 5.0) -> Report:
+async def _herd(
+    seed: int,
+    code: str,
+    relays: int,
+    killed: int,
+    between: Callable[[Rig, list[str]], None] | None = None,
+    limit: float = 60.0,
+    again_after_s: float | None = None,
+    seconds: float = 5.0,
+) -> Report:
     """Most relays are killed in the same instant under load, and come back together."""
     async with Rig(seed, relays, _dests(limit), code=code) as rig:
         await rig.start()
@@ -62,6 +70,7 @@
 @_scenario
 async def herd_damaged(seed: int, code: str = "") -> Report:
     """A third of the folders lost, a third damaged."""
+
     def harm(rig: Rig, names: list[str]) -> None:
         rig.lose(*names[::3])
         rig.damage(*names[1::3], length=rig.random.choice((1, 30, 512)))
@@ -72,6 +81,7 @@
 @_scenario
 async def herd_silent(seed: int, code: str = "") -> Report:
     """Discovery is silent while they come back."""
+
     def silence(rig: Rig, _names: list[str]) -> None:
         rig.discovery.silent = True
         rig.story.tell("fault", what="discovery silent")
@@ -82,6 +92,7 @@
 @_scenario
 async def herd_lowered(seed: int, code: str = "") -> Report:
     """Limits are lowered meanwhile."""
+
     def lower(rig: Rig, _names: list[str]) -> None:
         for dest in rig.dests.values():
             dest.limit *= 0.4
@@ -169,8 +180,15 @@
     async with Rig(seed, 4, _dests(), code=code) as rig:
         await rig.start()
         rig.load(7.0, 80.0)
-        faults = [one_way_up(), Fault(stall_up=True), Fault(stall_down=True), Fault(refuse=True), cut_off(),
-                  Fault(delay_s=0.2), Fault(cut_after=rig.random.randrange(1, 400))]
+        faults = [
+            one_way_up(),
+            Fault(stall_up=True),
+            Fault(stall_down=True),
+            Fault(refuse=True),
+            cut_off(),
+            Fault(delay_s=0.2),
+            Fault(cut_after=rig.random.randrange(1, 400)),
+        ]
         rig.random.shuffle(faults)
         names = list(rig.relays)
         for n, fault in enumerate(faults):
@@ -296,8 +314,11 @@
     async with Rig(seed, 2, _dests(), code=code) as rig:
         for dest in rig.dests.values():
             dest.takes_s = 1.0  # so that much is open
-        rig.begin("r0", "import resource, signal; signal.signal(signal.SIGXFSZ, signal.SIG_IGN)\n"
-                        "resource.setrlimit(resource.RLIMIT_FSIZE, (12_000, 12_000))")
+        rig.begin(
+            "r0",
+            "import resource, signal; signal.signal(signal.SIGXFSZ, signal.SIG_IGN)\n"
+            "resource.setrlimit(resource.RLIMIT_FSIZE, (12_000, 12_000))",
+        )
         rig.begin("r1")
         await rig.come("r0", "r1")
         rig.load(3.0, 120.0)
@@ -352,7 +373,8 @@
         "        if os.path.exists({!r}): raise OSError(errno.EIO, os.strerror(errno.EIO))\n"
         "        return real(*args)\n"
         "    return call\n"
-        "os.write, os.pwrite, os.ftruncate = failing(os.write), failing(os.pwrite), failing(os.ftruncate)")
+        "os.write, os.pwrite, os.ftruncate = failing(os.write), failing(os.pwrite), failing(os.ftruncate)"
+    )
     async with Rig(seed, 2, _dests(), code=code) as rig:
         for dest in rig.dests.values():
             dest.takes_s = 0.5
--- a/tests/fleet/shims.py
+++ b/tests/fleet/shims.py
@@ -26,9 +26,13 @@
 _OF_THE_DISK = ("write", "pwrite", "ftruncate", "unlink", "rename")
 # What this machine may lack for a moment. Errors of the network are made by links, where both sides see them.
 _OF_SOCKETS = {
-    "socket": (errno.ENOBUFS, errno.ENOMEM, errno.ENFILE), "accept": (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS),
-    "connect": (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS), "send": (errno.ENOBUFS, errno.ENOMEM, SHORT),
-    "recv": (errno.ENOMEM, errno.ENOBUFS), "setsockopt": (errno.ENOBUFS,), "epoll_ctl": (errno.ENOMEM, errno.ENOSPC),
+    "socket": (errno.ENOBUFS, errno.ENOMEM, errno.ENFILE),
+    "accept": (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS),
+    "connect": (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS),
+    "send": (errno.ENOBUFS, errno.ENOMEM, SHORT),
+    "recv": (errno.ENOMEM, errno.ENOBUFS),
+    "setsockopt": (errno.ENOBUFS,),
+    "epoll_ctl": (errno.ENOMEM, errno.ENOSPC),
 }
 
 
--- a/tests/fleet/soak.py
+++ b/tests/fleet/soak.py
@@ -42,9 +42,21 @@
         self.busy: set[str] = set()  # relays that are being restarted
         self.findings: list[Finding] = []
         self.troubles: tuple[Callable[[], Awaitable[None]], ...] = (
-            self.killed, self.stopped, self.reloaded, self.link_fails, self.discovery_silent, self.destination_fails,
-            self.destination_hangs, self.limit_lowered, self.endpoint_drains, self.disk_refuses, self.calls_fail,
-            self.clock_set, self.rude_clients, self.held_up)
+            self.killed,
+            self.stopped,
+            self.reloaded,
+            self.link_fails,
+            self.discovery_silent,
+            self.destination_fails,
+            self.destination_hangs,
+            self.limit_lowered,
+            self.endpoint_drains,
+            self.disk_refuses,
+            self.calls_fail,
+            self.clock_set,
+            self.rude_clients,
+            self.held_up,
+        )
 
     def begin(self, name: str) -> None:
         relay = self.rig.relays[name]
@@ -129,8 +141,15 @@
         if not (relay := self.anyone()):
             return
         name, link = self.random.choice(sorted(relay.links.items()))
-        link.fault = self.random.choice((one_way_up(), Fault(stall_down=True), Fault(refuse=True), cut_off(),
-            Fault(cut_after=self.random.randrange(1, 600))))
+        link.fault = self.random.choice(
+            (
+                one_way_up(),
+                Fault(stall_down=True),
+                Fault(refuse=True),
+                cut_off(),
+                Fault(cut_after=self.random.randrange(1, 600)),
+            )
+        )
         self.tell(f"the link of {relay.name} to {name}: {link.fault}")
         await self.lasts(0.2, 2.0)
         link.fault = Fault()
@@ -249,12 +268,16 @@
 
     def unanswered(self) -> None:
         """A connection that ends without an answer, where its relay was there all the time."""
-        ends = [event.at for event in self.rig.story.of("fault") if event.facts.get("what") == "SIGKILL"
-                or str(event.facts.get("what")).endswith("is over")]
+        ends = [
+            event.at
+            for event in self.rig.story.of("fault")
+            if event.facts.get("what") == "SIGKILL" or str(event.facts.get("what")).endswith("is over")
+        ]
         begun = {event.id: event.at for event in self.rig.story.of("handed")}
         for event in self.rig.story.of("client"):
             if event.facts.get("closed") and not any(
-                    begun[event.id] - _GONE_S <= at <= event.at + _GONE_S for at in ends):
+                begun[event.id] - _GONE_S <= at <= event.at + _GONE_S for at in ends
+            ):
                 self.findings.append(Finding("closed unanswered", event.at, (event.id,), f"by {event.relay}"))
 
 
--- a/tests/fleet/standins.py
+++ b/tests/fleet/standins.py
@@ -142,8 +142,9 @@
     def __init__(self, name: str, dest: Destination, story: Story, seed: int = 0) -> None:
         self.name, self.dest, self._story = name, dest, story
         self._random = random.Random(f"{seed}{name}")
-        self.server = Server(self._handle,
-            lambda relay: story.tell("connected", relay=relay, to=name, dest=dest.number))
+        self.server = Server(
+            self._handle, lambda relay: story.tell("connected", relay=relay, to=name, dest=dest.number)
+        )
 
     async def _handle(self, request: Request) -> tuple[int, dict[str, str], bytes] | None:
         story, dest, wire_id = self._story, self.dest, request.headers.get("req-id", "")
@@ -187,8 +188,15 @@
 
     def list(self, name: str, dest: int, phase: str = "Ready", size: float = 50.0) -> None:
         """Add an endpoint, or change it."""
-        self.members[name] = {"id": name, "locality": "a", "flavor": "x", "cell": dest, "phase": phase, "size": size,
-                              "up_since_ms": 0}
+        self.members[name] = {
+            "id": name,
+            "locality": "a",
+            "flavor": "x",
+            "cell": dest,
+            "phase": phase,
+            "size": size,
+            "up_since_ms": 0,
+        }
         self.revision += 1
         self._changed.set()
         self._changed = asyncio.Event()
@@ -197,8 +205,13 @@
         if request.target == "/reports":
             for line in request.body.splitlines():
                 told = json.loads(line)
-                self._story.tell("notice", id=told["message"], outcome=told["outcome"], relay=request.relay,
-                    retry_in_ms=told.get("retry_in_ms", 0))
+                self._story.tell(
+                    "notice",
+                    id=told["message"],
+                    outcome=told["outcome"],
+                    relay=request.relay,
+                    retry_in_ms=told.get("retry_in_ms", 0),
+                )
             return 204, {}, b""
         while self.silent:
             await asyncio.sleep(0.05)
@@ -212,6 +225,10 @@
             await asyncio.sleep(0.05)
         places = self._places(request.relay)
         members = [member | {"host_port": places[name]} for name, member in self.members.items()]
-        self._story.tell("told", relay=request.relay, revision=self.revision,
-            draining=[name for name, member in self.members.items() if member["phase"] != "Ready"])
+        self._story.tell(
+            "told",
+            relay=request.relay,
+            revision=self.revision,
+            draining=[name for name, member in self.members.items() if member["phase"] != "Ready"],
+        )
         return 200, {}, json.dumps({"revision": self.revision, "complete": True, "members": members}).encode()
--- a/tests/fleet/story.py
+++ b/tests/fleet/story.py
@@ -61,8 +61,7 @@
 
     def about(self, ids: set[str]) -> str:
         """The whole stories of some messages, with the faults between them."""
-        return "\n".join(event.line() for event in self.events
-                         if event.kind == "fault" or event.facts.get("id") in ids)
+        return "\n".join(event.line() for event in self.events if event.kind == "fault" or event.facts.get("id") in ids)
 
     def save(self, path: Path) -> None:
         path.write_text("".join(json.dumps([event.at, event.kind, event.facts]) + "\n" for event in self.events))
--- a/tests/fleet/takeover_scenarios.py
+++ b/tests/fleet/takeover_scenarios.py
@@ -33,8 +33,11 @@
 
 def first_attempts(rig: FleetRig, owner: str, lost_at: float) -> list[float]:
     """After how many seconds each message that the lost relay held got its first attempt from another."""
-    mine = {event.id for event in rig.story.of("client")
-            if event.relay == owner and event.status == 202 and event.at <= lost_at}
+    mine = {
+        event.id
+        for event in rig.story.of("client")
+        if event.relay == owner and event.status == 202 and event.at <= lost_at
+    }
     found: dict[str, float] = {}
     for event in rig.story.of("call"):
         if event.id in mine and event.relay != owner and event.at > lost_at:
@@ -89,23 +92,25 @@
 def dies_at(step: str, nth: int, once: Path) -> str:
     """Code for a relay that is killed at the n-th time of a step; of all that have the same `once`, the first."""
     module, cls, name, before = _STEPS[step]
-    return (f"import os, signal, {module}\n"
-            f"cls, count = {module}.{cls}, 0\n"
-            f"real = cls.{name}\n"
-            "def dies(*args, **kwargs):\n"
-            "    global count\n"
-            "    count += 1\n"
-            f"    if {before} and count == {nth}: die()\n"
-            "    done = real(*args, **kwargs)\n"
-            f"    if count == {nth}: die()\n"
-            "    return done\n"
-            "def die():\n"
-            "    try:\n"
-            f"        os.close(os.open({str(once)!r}, os.O_CREAT | os.O_EXCL))\n"
-            "    except FileExistsError:\n"
-            "        return\n"
-            "    os.kill(os.getpid(), signal.SIGKILL)\n"
-            f"cls.{name} = dies\n")
+    return (
+        f"import os, signal, {module}\n"
+        f"cls, count = {module}.{cls}, 0\n"
+        f"real = cls.{name}\n"
+        "def dies(*args, **kwargs):\n"
+        "    global count\n"
+        "    count += 1\n"
+        f"    if {before} and count == {nth}: die()\n"
+        "    done = real(*args, **kwargs)\n"
+        f"    if count == {nth}: die()\n"
+        "    return done\n"
+        "def die():\n"
+        "    try:\n"
+        f"        os.close(os.open({str(once)!r}, os.O_CREAT | os.O_EXCL))\n"
+        "    except FileExistsError:\n"
+        "        return\n"
+        "    os.kill(os.getpid(), signal.SIGKILL)\n"
+        f"cls.{name} = dies\n"
+    )
 
 
 async def _dies(rig: FleetRig, names: list[str], seconds: float) -> str:
@@ -196,8 +201,14 @@
         return report
 
 
-async def _cut(seed: int, code: str, cut: Callable[[FleetRig], None], heal: Callable[[FleetRig], None], seconds: float,
-               within: float = WITHIN_S) -> Report:
+async def _cut(
+    seed: int,
+    code: str,
+    cut: Callable[[FleetRig], None],
+    heal: Callable[[FleetRig], None],
+    seconds: float,
+    within: float = WITHIN_S,
+) -> Report:
     """The owner is cut off from some for a while; all goes on, by it or by others."""
     async with FleetRig(seed, 3, _dests(), code=code) as rig:
         await rig.start()
@@ -252,6 +263,7 @@
 @_scenario
 async def cut_from_all(seed: int, code: str = "") -> Report:
     """From the store and from the holders at once: it stops, and others go on."""
+
     def cut(rig: FleetRig) -> None:
         for link in (rig.store["r0"], rig.copies["r1"], rig.copies["r2"]):
             link.fault = cut_off()
@@ -266,6 +278,7 @@
 @_scenario
 async def cut_from_endpoints(seed: int, code: str = "") -> Report:
     """A relay that reaches nobody to deliver to is alive: nothing is taken from it."""
+
     def cut(rig: FleetRig) -> None:
         for link in rig.relays["r0"].links.values():
             link.fault = cut_off()
--- a/tests/fleet/test_auditor.py
+++ b/tests/fleet/test_auditor.py
@@ -32,8 +32,11 @@
 
 
 def answer(at: float, n: int, status: int = 200, wait_ms: float = 0, wire_id: str = "m") -> tuple[float, str, Any]:
-    return at, "answer", {"id": wire_id, "call": n, "dest": 1, "endpoint": "s-1", "relay": "r0", "status": status,
-                          "wait_ms": wait_ms}
+    return (
+        at,
+        "answer",
+        {"id": wire_id, "call": n, "dest": 1, "endpoint": "s-1", "relay": "r0", "status": status, "wait_ms": wait_ms},
+    )
 
 
 def notice(at: float, outcome: str = "given_up", wire_id: str = "m") -> tuple[float, str, dict[str, Any]]:
@@ -74,11 +77,21 @@
         self.assertEqual(self.found(*taken, call(1.2, 1), answer(1.3, 1), notice(2.0, "handed_back")), ["two ends"])
 
     def test_attempts_and_their_classes(self) -> None:
-        for cls, second, expected in (("entries", 2.0, ["repeat"]), ("orders", 2.0, []), ("orders", 7.3, ["repeat"]),
-                                      ("scores", 7.3, [])):
+        for cls, second, expected in (
+            ("entries", 2.0, ["repeat"]),
+            ("orders", 2.0, []),
+            ("orders", 7.3, ["repeat"]),
+            ("scores", 7.3, []),
+        ):
             with self.subTest(cls=cls, second=second):
-                story = (handed(1.0, cls), told(1.1), call(1.2, 1), answer(1.3, 1, 500), call(second, 2),
-                         answer(second + 0.1, 2))
+                story = (
+                    handed(1.0, cls),
+                    told(1.1),
+                    call(1.2, 1),
+                    answer(1.3, 1, 500),
+                    call(second, 2),
+                    answer(second + 0.1, 2),
+                )
                 self.assertEqual(self.found(*story), expected)
         refused = handed(1.0, "entries"), told(1.1), call(1.2, 1), answer(1.3, 1, 503), call(2.0, 2), answer(2.1, 2)
         self.assertEqual(self.found(*refused), [])
@@ -86,8 +99,14 @@
         shortly = handed(1.0, "scores"), told(1.1), call(1.2, 1), call(1.3, 2), answer(1.34, 1), answer(1.5, 2)
         self.assertEqual(self.found(*shortly), [])
         self.assertEqual(self.found(*both), ["two out"])
-        gone = (handed(1.0, "scores"), told(1.1), call(1.2, 1), (1.25, "unanswered", {"id": "m", "call": 1}),
-                call(1.3, 2), answer(1.5, 2))
+        gone = (
+            handed(1.0, "scores"),
+            told(1.1),
+            call(1.2, 1),
+            (1.25, "unanswered", {"id": "m", "call": 1}),
+            call(1.3, 2),
+            answer(1.5, 2),
+        )
         self.assertEqual(self.found(*gone), [])
         self.assertEqual(self.found(call(1.2, 1)), ["unknown"])
 
@@ -159,9 +178,14 @@
 
     async def test_each_fault(self) -> None:
         for fault, answered, arrived in (
-                (Fault(), b"hello", b"hello"), (one_way_up(), b"nothing", b"hello"), (cut_off(), b"nothing", b""),
-                (Fault(stall_up=True), b"nothing", b""), (Fault(refuse=True), b"broken", b""),
-                (Fault(cut_after=3), b"broken", b"hel"), (Fault(delay_s=0.05), b"hello", b"hello")):
+            (Fault(), b"hello", b"hello"),
+            (one_way_up(), b"nothing", b"hello"),
+            (cut_off(), b"nothing", b""),
+            (Fault(stall_up=True), b"nothing", b""),
+            (Fault(refuse=True), b"broken", b""),
+            (Fault(cut_after=3), b"broken", b"hel"),
+            (Fault(delay_s=0.05), b"hello", b"hello"),
+        ):
             with self.subTest(fault=fault):
                 self.heard, self.link.fault = b"", fault
                 self.assertEqual(await self.says(), answered)
--- a/tests/fleet/test_scenarios.py
+++ b/tests/fleet/test_scenarios.py
@@ -14,20 +14,43 @@
 
 SEED = 4
 SHOWN_BY = {  # mutant -> the scenario that brings it out
-    "deaf to waits": "drains", "blind to drains": "drains", "silent about ends": "outage",
-    "no record of attempts": "herd_slow", "no record of ends": "herd_slow", "nothing is taken up again": "herd_slow",
-    "a hidden second call": "herd_slow", "the folder is anybody's": "stalled", "keys are remembered for ever": "outage",
-    "a start knows no limit": "herd_backlog", "keys are remembered for ever by the decisions alone": "outage",
+    "deaf to waits": "drains",
+    "blind to drains": "drains",
+    "silent about ends": "outage",
+    "no record of attempts": "herd_slow",
+    "no record of ends": "herd_slow",
+    "nothing is taken up again": "herd_slow",
+    "a hidden second call": "herd_slow",
+    "the folder is anybody's": "stalled",
+    "keys are remembered for ever": "outage",
+    "a start knows no limit": "herd_backlog",
+    "keys are remembered for ever by the decisions alone": "outage",
 }
 
 
 class Scenarios(unittest.TestCase):
     plays = {
-        "test_a_herd_comes_back": [Play(name, SEED) for name in (
-            "herd", "herd_damaged", "herd_silent", "herd_lowered", "herd_twice", "herd_backlog")],
-        "test_folders_and_links": [Play(name, SEED) for name in (
-            "stalled", "shared", "rolled_back", "links", "drains", "outage", "herd_slow", "clock_back", "clock_forward",
-            "notes", "disk_full", "disk_fails")],
+        "test_a_herd_comes_back": [
+            Play(name, SEED)
+            for name in ("herd", "herd_damaged", "herd_silent", "herd_lowered", "herd_twice", "herd_backlog")
+        ],
+        "test_folders_and_links": [
+            Play(name, SEED)
+            for name in (
+                "stalled",
+                "shared",
+                "rolled_back",
+                "links",
+                "drains",
+                "outage",
+                "herd_slow",
+                "clock_back",
+                "clock_forward",
+                "notes",
+                "disk_full",
+                "disk_fails",
+            )
+        ],
     }
 
     def kept(self, plays: list[Play]) -> None:
@@ -78,16 +101,19 @@
                 asyncio.run(asyncio.wait_for(asyncio.open_connection("127.0.0.1", port), 1))
 
     def test_a_rig_that_is_killed_outright_takes_its_processes_along(self) -> None:
-        code = ("import asyncio, os, signal, sys; sys.path.insert(0, 'tests')\n"
-                "from fleet.rig import Rig\n"
-                "async def play():\n"
-                "    async with Rig(1, 1) as rig:\n"
-                "        await rig.start()\n"
-                "        print(rig.relays['r0'].process.pid, flush=True)\n"
-                "        os.kill(os.getpid(), signal.SIGKILL)\n"
-                "asyncio.run(play())")
-        done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60,
-            cwd=Path(__file__).parents[2])
+        code = (
+            "import asyncio, os, signal, sys; sys.path.insert(0, 'tests')\n"
+            "from fleet.rig import Rig\n"
+            "async def play():\n"
+            "    async with Rig(1, 1) as rig:\n"
+            "        await rig.start()\n"
+            "        print(rig.relays['r0'].process.pid, flush=True)\n"
+            "        os.kill(os.getpid(), signal.SIGKILL)\n"
+            "asyncio.run(play())"
+        )
+        done = subprocess.run(
+            [sys.executable, "-c", code], capture_output=True, text=True, timeout=60, cwd=Path(__file__).parents[2]
+        )
         pid = int(done.stdout)
 
         async def gone() -> None:
--- a/tests/fleet/test_takeovers.py
+++ b/tests/fleet/test_takeovers.py
@@ -19,15 +19,25 @@
 from calicohitch.takeover.looking import traces
 
 PLAYED = {  # scenario -> seeds; the steps of a message's life and of a claim go by the seed
-    "killed_at_a_step": (1, 4), "successor_killed_at_a_step": (1, 2), "stalled_owner": (3,), "cut_from_the_store": (2,),
-    "cut_from_all": (1,), "store_back_empty": (1,), "store_troubles": (2,), "half_lost": (1,), "rolling": (1,),
+    "killed_at_a_step": (1, 4),
+    "successor_killed_at_a_step": (1, 2),
+    "stalled_owner": (3,),
+    "cut_from_the_store": (2,),
+    "cut_from_all": (1,),
+    "store_back_empty": (1,),
+    "store_troubles": (2,),
+    "half_lost": (1,),
+    "rolling": (1,),
     "late_return": (2,),
 }
 
 
 class Takeovers(unittest.TestCase):
-    plays = {"test_what_was_taken_on_comes_to_its_end_once": [
-        Play(name, seed) for name, seeds in PLAYED.items() for seed in seeds]}
+    plays = {
+        "test_what_was_taken_on_comes_to_its_end_once": [
+            Play(name, seed) for name, seeds in PLAYED.items() for seed in seeds
+        ]
+    }
 
     def test_what_was_taken_on_comes_to_its_end_once(self) -> None:
         plays = self.plays["test_what_was_taken_on_comes_to_its_end_once"]
--- a/tests/grpc_/test_codec.py
+++ b/tests/grpc_/test_codec.py
@@ -34,8 +34,16 @@
 
 class Codec(unittest.TestCase):
     def test_timeouts(self) -> None:
-        for text, ms in ((b"1H", 3_600_000.0), (b"2M", 120_000.0), (b"3S", 3_000.0), (b"4m", 4.0), (b"5u", 0.005),
-                         (b"6n", 6e-6), (b"99999999H", 10 * 365 * 86_400_000.0), (b"0m", 0.0)):
+        for text, ms in (
+            (b"1H", 3_600_000.0),
+            (b"2M", 120_000.0),
+            (b"3S", 3_000.0),
+            (b"4m", 4.0),
+            (b"5u", 0.005),
+            (b"6n", 6e-6),
+            (b"99999999H", 10 * 365 * 86_400_000.0),
+            (b"0m", 0.0),
+        ):
             with self.subTest(text=text):
                 self.assertEqual(read_timeout(text), ms)
         for text in (b"", b"m", b"123456789m", b"1", b"1x", b"-1m", b"1.5S", b" 1m", b"1m "):
@@ -69,8 +77,10 @@
         self.assertEqual([message[5:] for message in found], bodies)
 
     def test_prefixes_that_promise_too_much_or_nothing(self) -> None:
-        for data, status in ((b"\x00\xff\xff\xff\xff", Status.RESOURCE_EXHAUSTED),
-                             (b"\x02\x00\x00\x00\x01", Status.INTERNAL)):
+        for data, status in (
+            (b"\x00\xff\xff\xff\xff", Status.RESOURCE_EXHAUSTED),
+            (b"\x02\x00\x00\x00\x01", Status.INTERNAL),
+        ):
             with self.subTest(data=data), self.assertRaises(CodecError) as caught:
                 Deframer(1_000).feed(data)
             self.assertIs(caught.exception.status, status)
@@ -85,19 +95,31 @@
         self.assertEqual(decode_binary(encode_binary(value) + b", " + encode_binary(b"x")), [value, b"x"])
 
     def test_requests(self) -> None:
-        good = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/a.B/C"),
-                (b"content-type", b"application/grpc+proto"), (b"te", b"trailers"),
-                (b"grpc-timeout", b"5S"), (b"x-y", b"z"), (b"traceparent", b"t")]
+        good = [
+            (b":method", b"POST"),
+            (b":scheme", b"http"),
+            (b":path", b"/a.B/C"),
+            (b"content-type", b"application/grpc+proto"),
+            (b"te", b"trailers"),
+            (b"grpc-timeout", b"5S"),
+            (b"x-y", b"z"),
+            (b"traceparent", b"t"),
+        ]
         told = read_request(good)
         self.assertEqual((told.service, told.method, told.timeout_ms), ("a.B", "C", 5_000.0))
         self.assertEqual(metadata(good), [(b"content-type", b"application/grpc+proto"), (b"x-y", b"z")])
         changes: list[tuple[bytes, bytes | None, Status]] = [
-            (b":method", b"GET", Status.UNIMPLEMENTED), (b":path", b"/a", Status.UNIMPLEMENTED),
-            (b":path", b"/a/b/c", Status.UNIMPLEMENTED), (b":path", None, Status.UNIMPLEMENTED),
+            (b":method", b"GET", Status.UNIMPLEMENTED),
+            (b":path", b"/a", Status.UNIMPLEMENTED),
+            (b":path", b"/a/b/c", Status.UNIMPLEMENTED),
+            (b":path", None, Status.UNIMPLEMENTED),
             (b"content-type", b"text/plain", Status.INVALID_ARGUMENT),
             (b"content-type", b"application/grpcx", Status.INVALID_ARGUMENT),
-            (b"content-type", None, Status.INVALID_ARGUMENT), (b"grpc-timeout", b"soon", Status.INVALID_ARGUMENT),
-            (b"x-y", b"\x00", Status.INTERNAL), (b"x-y", b"\xff", Status.INTERNAL)]
+            (b"content-type", None, Status.INVALID_ARGUMENT),
+            (b"grpc-timeout", b"soon", Status.INVALID_ARGUMENT),
+            (b"x-y", b"\x00", Status.INTERNAL),
+            (b"x-y", b"\xff", Status.INTERNAL),
+        ]
         for name, value, status in changes:
             headers = [(k, v if k != name else value) for k, v in good if k != name or value is not None]
             with self.subTest(name=name, value=value), self.assertRaises(CodecError) as caught:
@@ -108,8 +130,17 @@
 class Table(unittest.TestCase):
     def test_every_row(self) -> None:
         ok, error, full = Meaning(Outcome.OK, answered=True), Meaning(Outcome.ERROR), Meaning(Outcome.FULL)
-        answers = {"OK", "INVALID_ARGUMENT", "NOT_FOUND", "ALREADY_EXISTS", "PERMISSION_DENIED", "FAILED_PRECONDITION",
-                   "OUT_OF_RANGE", "UNIMPLEMENTED", "UNAUTHENTICATED"}
+        answers = {
+            "OK",
+            "INVALID_ARGUMENT",
+            "NOT_FOUND",
+            "ALREADY_EXISTS",
+            "PERMISSION_DENIED",
+            "FAILED_PRECONDITION",
+            "OUT_OF_RANGE",
+            "UNIMPLEMENTED",
+            "UNAUTHENTICATED",
+        }
         for status in Status:
             for begun in (False, True):
                 if status.name in answers:
@@ -131,15 +162,28 @@
         self.assertEqual(meaning(Status.INTERNAL, False, 700.0, 700.0), error)  # only those two tell to wait
 
     def test_what_is_read_of_trailers(self) -> None:
-        for text, status in ((b"0", Status.OK), (b"16", Status.UNAUTHENTICATED), (b"17", Status.UNKNOWN),
-                             (b"x", Status.UNKNOWN), (b"", Status.UNKNOWN),
-                             (None, Status.UNKNOWN), (b"-1", Status.UNKNOWN)):
+        for text, status in (
+            (b"0", Status.OK),
+            (b"16", Status.UNAUTHENTICATED),
+            (b"17", Status.UNKNOWN),
+            (b"x", Status.UNKNOWN),
+            (b"", Status.UNKNOWN),
+            (None, Status.UNKNOWN),
+            (b"-1", Status.UNKNOWN),
+        ):
             self.assertIs(read_status(text), status)
-        for text, wait in ((None, None), (b"0", 0.0), (b"250", 250.0), (b"-1", -1.0), (b"soon", -1.0),
-                           (b"9" * 50, -1.0)):
+        for text, wait in (
+            (None, None),
+            (b"0", 0.0),
+            (b"250", 250.0),
+            (b"-1", -1.0),
+            (b"soon", -1.0),
+            (b"9" * 50, -1.0),
+        ):
             self.assertEqual(read_pushback(text), wait)
-        self.assertEqual([of_http(code) for code in (404, 503, 200)],
-            [Status.UNIMPLEMENTED, Status.UNAVAILABLE, Status.UNKNOWN])
+        self.assertEqual(
+            [of_http(code) for code in (404, 503, 200)], [Status.UNIMPLEMENTED, Status.UNAVAILABLE, Status.UNKNOWN]
+        )
 
     def test_retry_info(self) -> None:
         def details(*messages: Any) -> bytes:
@@ -171,10 +215,12 @@
         self.assertEqual((find(b"/a.B/C").dest, find(b"/a.B/C").route.class_index), (7, 0))
         self.assertEqual(find(b"/a.B/D", (b"dest", b"9"), (b"req-id", b"r1")).id, "r1")
         for path, more, status in (
-                (b"/a.X/C", (), Status.UNIMPLEMENTED), (b"/a.B/D", (), Status.INVALID_ARGUMENT),
-                (b"/a.B/D", ((b"dest", b"x"),), Status.INVALID_ARGUMENT),
-                (b"/a.B/C", ((b"req-id", b"a b"),), Status.INVALID_ARGUMENT),
-                (b"/a.B/C", ((b"req-id", b"a"), (b"req-id", b"b")), Status.INVALID_ARGUMENT)):
+            (b"/a.X/C", (), Status.UNIMPLEMENTED),
+            (b"/a.B/D", (), Status.INVALID_ARGUMENT),
+            (b"/a.B/D", ((b"dest", b"x"),), Status.INVALID_ARGUMENT),
+            (b"/a.B/C", ((b"req-id", b"a b"),), Status.INVALID_ARGUMENT),
+            (b"/a.B/C", ((b"req-id", b"a"), (b"req-id", b"b")), Status.INVALID_ARGUMENT),
+        ):
             with self.subTest(path=path, more=more), self.assertRaises(CodecError) as caught:
                 find(path, *more)
             self.assertIs(caught.exception.status, status)
@@ -206,9 +252,13 @@
         self.assertEqual((len(memory), memory.expired(99_999.0)), (1, [5]))
 
     def test_health(self) -> None:
-        for body, serving, said in ((b"", True, b"\x08\x01"), (frame(b""), False, b"\x08\x02"),
-                                    (frame(b"\x0a\x03a.B"), True, b"\x08\x01"), (frame(b"\x0a\x03a.C"), True, None),
-                                    (frame(b"\x0a\xff"), True, b"\x08\x01")):
+        for body, serving, said in (
+            (b"", True, b"\x08\x01"),
+            (frame(b""), False, b"\x08\x02"),
+            (frame(b"\x0a\x03a.B"), True, b"\x08\x01"),
+            (frame(b"\x0a\x03a.C"), True, None),
+            (frame(b"\x0a\xff"), True, b"\x08\x01"),
+        ):
             self.assertEqual(answer(body, {"a.B"}, serving), said)
 
 
--- a/tests/grpc_/test_http2.py
+++ b/tests/grpc_/test_http2.py
@@ -90,7 +90,8 @@
                     tasks.start_soon(connection.run)
                     stream = connection.open()
                     await stream.send_headers(
-                        [(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/a"), (b":authority", b"x")])
+                        [(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/a"), (b":authority", b"x")]
+                    )
                     await anyio.sleep(0.05)
                     connection.look_alive()  # not long quiet yet: nothing is asked
                     clock.advance(1_001.0)
--- a/tests/grpc_/test_mixed.py
+++ b/tests/grpc_/test_mixed.py
@@ -106,8 +106,11 @@
             what = book.begin(name)
             await anyio.sleep(0.02)
             book.end(name, what)
-            answers: dict[str, Any] = {"wait": (429, {"Wait-Ms": str(int(WAIT_S * 1e3))}, b""), "fail": (500, {}, b""),
-                                       "ok": (200, {}, b"")}
+            answers: dict[str, Any] = {
+                "wait": (429, {"Wait-Ms": str(int(WAIT_S * 1e3))}, b""),
+                "fail": (500, {}, b""),
+                "ok": (200, {}, b""),
+            }
             return answers[what]
 
         async def test(world: World) -> None:
@@ -132,9 +135,11 @@
                             self.assertEqual((await world.hand_in(f"h{n}", path="/scores")).status, 202)
                             await anyio.sleep(0.015)
                             if n == 60:
-                                world.change(member(str(world.endpoint.address)),
+                                world.change(
+                                    member(str(world.endpoint.address)),
                                     member(str(endpoints[0].address), "g-0", phase="Terminating"),
-                                    member(str(endpoints[1].address), "g-1"))
+                                    member(str(endpoints[1].address), "g-1"),
+                                )
                                 drained_at = time.monotonic()
                     await until(lambda: relay.idle)
                     client.channel.close()
@@ -144,8 +149,11 @@
             self.assertEqual({name: len(told) for name, told in answers.items()}, {f"g{n}": 1 for n in range(120)})
             for name, (told,) in answers.items():
                 if isinstance(told, grpc.RpcError):
-                    self.assertIn(told.code(), (grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.UNKNOWN,
-                        grpc.StatusCode.DEADLINE_EXCEEDED), name)
+                    self.assertIn(
+                        told.code(),
+                        (grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.UNKNOWN, grpc.StatusCode.DEADLINE_EXCEEDED),
+                        name,
+                    )
                 else:
                     self.assertGreaterEqual(book.delivered[name], 1)
             self.assertEqual((book.twice_out, heard.in_wait), ([], []))
--- a/tests/grpc_/test_passing.py
+++ b/tests/grpc_/test_passing.py
@@ -81,6 +81,7 @@
 
             def chat() -> list[bytes]:
                 import queue
+
                 out: queue.Queue[bytes | None] = queue.Queue()
                 answers = client.method("Chat", "stream_stream")(iter(out.get, None), timeout=10)
                 heard = []
@@ -147,6 +148,7 @@
 
     def test_compressed_streams_and_answers(self) -> None:
         """The interop cases client_compressed_streaming and server_compressed_unary and _streaming."""
+
         async def test(world: World, relay: Any, client: Client, endpoint: Endpoint) -> None:
             def calls() -> tuple[list[bytes], bytes, list[bytes]]:
                 sent = [b"a" * 27_182, b"b" * 45_904]
@@ -243,6 +245,7 @@
     def test_health_follows_ready_and_stopping(self) -> None:
         async def test(world: World, relay: Any, client: Client, endpoint: Endpoint) -> None:
             from functools import partial
+
             check = client.channel.unary_unary("/grpc.health.v1.Health/Check", None, None)
             watch = client.channel.unary_stream("/grpc.health.v1.Health/Watch", None, None)(b"", timeout=10)
             self.assertEqual(await client.run(partial(check, b"", timeout=5)), b"\x08\x01")
--- a/tests/grpc_/test_rude.py
+++ b/tests/grpc_/test_rude.py
@@ -106,8 +106,10 @@
         cases: list[tuple[list[tuple[str, str]], grpc.StatusCode]] = [
             ([(":status", "404")], grpc.StatusCode.UNIMPLEMENTED),
             ([(":status", "200"), ("content-type", "text/html")], grpc.StatusCode.UNKNOWN),
-            ([(":status", "200"), ("content-type", "application/grpc"), ("grpc-status", "77")],
-             grpc.StatusCode.UNKNOWN),
+            (
+                [(":status", "200"), ("content-type", "application/grpc"), ("grpc-status", "77")],
+                grpc.StatusCode.UNKNOWN,
+            ),
         ]
         current: list[Any] = [None]
 
@@ -225,6 +227,7 @@
             endpoint = Endpoint(echo)
             try:
                 async with grpc_relay(world, endpoint.address) as (relay, front):
+
                     def act() -> list[bytes]:
                         rude, statuses = RawClient(front), []
                         for body in (b"\x00\xff\xff\xff\xff", b"\x00\x00\x00\x00\x09cut"):
@@ -301,11 +304,13 @@
             port = free_port()
             operator.write_text(
                 f'grpc listen="127.0.0.1:{port}" {{\n route "board.Scores" "Post" class="scores" dest=7\n'
-                ' route "board.Scores" "Enter" class="orders" dest=7\n endpoints id="g-0"\n}')
+                ' route "board.Scores" "Enter" class="orders" dest=7\n endpoints id="g-0"\n}'
+            )
             program.arguments = ["--operator", str(operator)]
             program.say({"discovery": str(world.platform.address), "settings": WIDE})
             world.members = [member(str(endpoint.address), "g-0")]
             from calicohitch.config import Address
+
             front = Address("127.0.0.1", port)
 
             async def calls(client: Client, answers: list[Any]) -> None:
--- a/tests/intake/test_clients.py
+++ b/tests/intake/test_clients.py
@@ -26,8 +26,10 @@
 from calicohitch.journal import End
 from calicohitch.net.http import Link
 
-HEAD = "POST /orders HTTP/1.1\r\nHost: r\r\nReq-Id: {}\r\nReq-Deadline-Ms: 5000\r\nIdempotency-Key: k{}\r\n" \
-       "Envelope: dest=7\r\nContent-Length: 2\r\n\r\nhi"
+HEAD = (
+    "POST /orders HTTP/1.1\r\nHost: r\r\nReq-Id: {}\r\nReq-Deadline-Ms: 5000\r\nIdempotency-Key: k{}\r\n"
+    "Envelope: dest=7\r\nContent-Length: 2\r\n\r\nhi"
+)
 
 
 def connect(world: World, source: str) -> socket.socket:
@@ -116,8 +118,10 @@
     async def test_a_late_loop_refuses_at_once_and_takes_nothing_twice(self, world: World) -> None:
         async with world.relay() as relay:
             sock = connect(world, "127.0.0.2")
-            with mock.patch.object(world.clients._load, "admits", return_value=False), \
-                    mock.patch.object(relay, "turned_away") as told:
+            with (
+                mock.patch.object(world.clients._load, "admits", return_value=False),
+                mock.patch.object(relay, "turned_away") as told,
+            ):
                 answer = await ask(sock, "m1")
             self.assertIs(told.call_args[0][1], Refusal.BUSY)  # so that its trace tells why
             self.assertEqual(answer[:12], b"HTTP/1.1 503")
--- a/tests/intake/test_head.py
+++ b/tests/intake/test_head.py
@@ -14,8 +14,10 @@
 from calicohitch.net.head import LONGEST_HEAD, Look
 from calicohitch.net.http import MAX_BODY
 
-USUAL = (b"POST /orders HTTP/1.1\r\nHost: r\r\nReq-Id: a1\r\nReq-Deadline-Ms: 5000\r\nIdempotency-Key: k\r\n"
-         b"Content-Length: 4\r\nEnvelope: dest=7\r\n\r\nbody")
+USUAL = (
+    b"POST /orders HTTP/1.1\r\nHost: r\r\nReq-Id: a1\r\nReq-Deadline-Ms: 5000\r\nIdempotency-Key: k\r\n"
+    b"Content-Length: 4\r\nEnvelope: dest=7\r\n\r\nbody"
+)
 
 
 def by_h11(data: bytes) -> tuple[Any, ...] | str:
@@ -36,11 +38,39 @@
     return request.method.encode(), target, list(request.raw), request.body, found.close
 
 
-PIECES = st.sampled_from([b"\r\n", b"\n", b"\r", b":", b" ", b"\t", b"\0", b"\x80", b"?", b"", b"0", b"5", b"-",
-    b"HTTP/1.0", b"GET", b"PUT", b"Connection: close\r\n", b"connection: Keep-Alive\r\n", b"Connection: close, x\r\n",
-    b"Host: s\r\n",
-    b"Transfer-Encoding: chunked\r\n", b"Expect: 100-continue\r\n", b"X: y\r\n", b"X:\r\n", b" folded\r\n", b"\r\n\r\n",
-    b"Content-Length: 4\r\n", b"Content-Length: 04\r\n", b"Content-Length: +4\r\n"])
+PIECES = st.sampled_from(
+    [
+        b"\r\n",
+        b"\n",
+        b"\r",
+        b":",
+        b" ",
+        b"\t",
+        b"\0",
+        b"\x80",
+        b"?",
+        b"",
+        b"0",
+        b"5",
+        b"-",
+        b"HTTP/1.0",
+        b"GET",
+        b"PUT",
+        b"Connection: close\r\n",
+        b"connection: Keep-Alive\r\n",
+        b"Connection: close, x\r\n",
+        b"Host: s\r\n",
+        b"Transfer-Encoding: chunked\r\n",
+        b"Expect: 100-continue\r\n",
+        b"X: y\r\n",
+        b"X:\r\n",
+        b" folded\r\n",
+        b"\r\n\r\n",
+        b"Content-Length: 4\r\n",
+        b"Content-Length: 04\r\n",
+        b"Content-Length: +4\r\n",
+    ]
+)
 
 
 class Heads(unittest.TestCase):
@@ -54,20 +84,33 @@
             self.assertIn(told, ("short", "broken"))
 
     def test_the_usual_ones_are_common_and_the_odd_ones_are_left(self) -> None:
-        common = [USUAL, b"GET /health/ready HTTP/1.1\r\nHost: r\r\n\r\n",
-                  USUAL.replace(b"Host", b"Connection: close\r\nHost"),
-                  USUAL.replace(b"/orders", b"/orders?a=1"), USUAL.replace(b"Host: r", b"hOST:\t r \t")]
+        common = [
+            USUAL,
+            b"GET /health/ready HTTP/1.1\r\nHost: r\r\n\r\n",
+            USUAL.replace(b"Host", b"Connection: close\r\nHost"),
+            USUAL.replace(b"/orders", b"/orders?a=1"),
+            USUAL.replace(b"Host: r", b"hOST:\t r \t"),
+        ]
         for data in common:
             with self.subTest(data=data):
                 found = read(data)
                 assert isinstance(found, Common)
                 self.assertEqual(as_h11(found), by_h11(data))
                 self.assertIs(read(data[:-1]), Look.SHORT)
-        odd = [USUAL + b"x", USUAL.replace(b"Host: r\r\n", b""), USUAL.replace(b"HTTP/1.1", b"HTTP/1.0"),
-               USUAL.replace(b"Host", b"Expect: 100-continue\r\nHost"), b"PUT" + USUAL[4:], b"\r\n" + USUAL,
-               USUAL.replace(b"Host", b"Req-Id: a2\r\nHost"), USUAL.replace(b"length: 4", b"Length: 65537"),
-               USUAL.replace(b"Length: 4", b"Length: %d" % (MAX_BODY + 1)), USUAL.replace(b"r\r\n", b"r\n", 1),
-               b"POST /" + b"a" * LONGEST_HEAD, USUAL.replace(b"a1", b"a\xe91")]
+        odd = [
+            USUAL + b"x",
+            USUAL.replace(b"Host: r\r\n", b""),
+            USUAL.replace(b"HTTP/1.1", b"HTTP/1.0"),
+            USUAL.replace(b"Host", b"Expect: 100-continue\r\nHost"),
+            b"PUT" + USUAL[4:],
+            b"\r\n" + USUAL,
+            USUAL.replace(b"Host", b"Req-Id: a2\r\nHost"),
+            USUAL.replace(b"length: 4", b"Length: 65537"),
+            USUAL.replace(b"Length: 4", b"Length: %d" % (MAX_BODY + 1)),
+            USUAL.replace(b"r\r\n", b"r\n", 1),
+            b"POST /" + b"a" * LONGEST_HEAD,
+            USUAL.replace(b"a1", b"a\xe91"),
+        ]
         for data in odd:
             with self.subTest(data=data[:80]):
                 if data != USUAL:
@@ -81,8 +124,11 @@
             from http import HTTPStatus
 
             told = [*headers, (b"Content-Length", b"%d" % len(body)), *([(b"Connection", b"close")] if close else [])]
-            parts = [connection.send(h11.Response(status_code=status, headers=told, reason=HTTPStatus(status).phrase)),
-                     connection.send(h11.Data(data=body)), connection.send(h11.EndOfMessage())]
+            parts = [
+                connection.send(h11.Response(status_code=status, headers=told, reason=HTTPStatus(status).phrase)),
+                connection.send(h11.Data(data=body)),
+                connection.send(h11.EndOfMessage()),
+            ]
             self.assertEqual(answer(status, headers, body, close), b"".join(part for part in parts if part))
 
 
--- a/tests/intake/test_readiness.py
+++ b/tests/intake/test_readiness.py
@@ -43,6 +43,7 @@
 class Registering(unittest.TestCase):
     def test_what_came_on_a_socket_is_forgotten_with_it(self) -> None:
         """Its number may be another's by the time that what came is taken."""
+
         async def play() -> None:
             readiness = Readiness()
             ours, theirs = socket.socketpair()
--- a/tests/orders/test_attempts.py
+++ b/tests/orders/test_attempts.py
@@ -32,8 +32,12 @@
         self.endpoints = Endpoints(Clock(), (), 10_000, 1_500, Leases(8, {}))
         self.result: Result | None = None
 
-    async def call(self, timeout: float = LIMIT * 1e3, scope: anyio.CancelScope | None = None,
-                   wanted: Callable[[], bool] = lambda: True) -> Result:
+    async def call(
+        self,
+        timeout: float = LIMIT * 1e3,
+        scope: anyio.CancelScope | None = None,
+        wanted: Callable[[], bool] = lambda: True,
+    ) -> Result:
         told = Call("a1", None, b"x", timeout)
         self.result = await self.endpoints.call(1, self.address, told, scope or anyio.CancelScope(), wanted)
         return self.result
@@ -85,6 +89,7 @@
     def test_a_close_that_crosses_the_write(self) -> None:
         """The endpoint closes a kept connection after it was looked at and before the call is written: a reset that may
         have run, and that says nothing of the endpoint."""
+
         async def test(world: Scripted) -> None:
             link = await served_once(world)
             request = ClientConnection.request
@@ -102,6 +107,7 @@
 
     def test_a_call_on_a_connection_that_came_up_late_states_what_is_left_of_its_time(self) -> None:
         """What an endpoint does behind that is for nobody."""
+
         async def test(world: Scripted) -> None:
             opened = ClientConnection.open
 
@@ -130,19 +136,34 @@
         message does so only while the attempt has time: behind it nobody knows whether it was written in time."""
         line = OK.index(b"\n") + 1  # a message is delivered once the whole line is written: half of it may stay alone
         gone = b"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n"
-        cases = ((OK, Outcome.OK, 0), (OK[:line], Outcome.OK, 0), (OK[:14], None, 0), (OK[:line - 1], None, 0),
-                 (b"HTTP/1.1 500 E\r\n\r\n", None, 0),
-                 (WAIT, Outcome.FULL, 400), (WAIT[:-1], None, 0), (WAIT + b"x", Outcome.FULL, 400),
-                 (WAIT.replace(b"Content", b"Connection: close\r\nContent"), Outcome.FULL, 400),
-                 (b"HTTP/1.1 100 Continue\r\n\r\n" + WAIT, Outcome.FULL, 400),
-                 (b"HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n", Outcome.FULL, 0),
-                 (b"HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR, 0), (b"spoilt\r\n\r\n", None, 0),
-                 (gone, Outcome.MOOT, 0), (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, Outcome.OK, 0))
+        cases = (
+            (OK, Outcome.OK, 0),
+            (OK[:line], Outcome.OK, 0),
+            (OK[:14], None, 0),
+            (OK[: line - 1], None, 0),
+            (b"HTTP/1.1 500 E\r\n\r\n", None, 0),
+            (WAIT, Outcome.FULL, 400),
+            (WAIT[:-1], None, 0),
+            (WAIT + b"x", Outcome.FULL, 400),
+            (WAIT.replace(b"Content", b"Connection: close\r\nContent"), Outcome.FULL, 400),
+            (b"HTTP/1.1 100 Continue\r\n\r\n" + WAIT, Outcome.FULL, 400),
+            (b"HTTP/1.1 503 S\r\nContent-Length: 0\r\n\r\n", Outcome.FULL, 0),
+            (b"HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR, 0),
+            (b"spoilt\r\n\r\n", None, 0),
+            (gone, Outcome.MOOT, 0),
+            (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, Outcome.OK, 0),
+        )
         for ends in ("time", "cancel"):
             for sent, outcome, wait in cases:
                 with self.subTest(ends=ends, sent=sent):
-                    async def test(world: Scripted, ends: str = ends, sent: bytes = sent,
-                                   outcome: Outcome | None = outcome, wait: float = wait) -> None:
+
+                    async def test(
+                        world: Scripted,
+                        ends: str = ends,
+                        sent: bytes = sent,
+                        outcome: Outcome | None = outcome,
+                        wait: float = wait,
+                    ) -> None:
                         scope, reached = anyio.CancelScope(), anyio.Event()
                         receive = Link.receive
 
@@ -177,9 +198,14 @@
         """The loop comes late to both, and to the answer first: it says nothing of when it was written. One whose first
         line was read in time delivers, however late its rest is."""
         line = OK.index(b"\n") + 1
-        for early, outcome in ((b"", Outcome.TIMEOUT), (OK[:line - 1], Outcome.TIMEOUT), (OK[:line], Outcome.OK),
-                               (b"HTTP/1.1 100 Continue\r\n\r\n", Outcome.TIMEOUT)):
+        for early, outcome in (
+            (b"", Outcome.TIMEOUT),
+            (OK[: line - 1], Outcome.TIMEOUT),
+            (OK[:line], Outcome.OK),
+            (b"HTTP/1.1 100 Continue\r\n\r\n", Outcome.TIMEOUT),
+        ):
             with self.subTest(early=early):
+
                 async def test(world: Scripted, early: bytes = early, outcome: Outcome = outcome) -> None:
                     until_s, reading = 0.0, anyio.Event()
                     receive, server = Link.receive, None
@@ -203,7 +229,7 @@
                                 reading = anyio.Event()
                                 await server.send(early)
                                 await reading.wait()
-                            await server.send(OK if early[:9] != b"HTTP/1.1 " or b"100" in early else OK[len(early):])
+                            await server.send(OK if early[:9] != b"HTTP/1.1 " or b"100" in early else OK[len(early) :])
                     assert world.result
                     self.assertEqual((world.result.outcome, world.result.ended), (outcome, outcome is Outcome.OK))
                     server.close()
@@ -212,6 +238,7 @@
 
     def test_the_rest_of_an_answer_in_the_turn_in_which_the_time_is_up(self) -> None:
         """Its beginning was read before, by h11."""
+
         async def test(world: Scripted) -> None:
             half, reached, receive = anyio.Event(), anyio.Event(), Link.receive
 
@@ -243,6 +270,7 @@
     def test_bytes_that_come_while_a_call_is_not_made_after_all(self) -> None:
         """Half an answer that nobody asked for comes on a kept connection just when its call turns out not to be
         wanted. The connection is not kept: the rest of it would answer the next call."""
+
         async def test(world: Scripted) -> None:
             link = await served_once(world)
             (kept,) = [idle[-1] for idle in world.endpoints._idle.values()]
@@ -270,6 +298,7 @@
         """The connection breaks behind it, or the rest does not come: it may have run."""
         for breaks in (True, False):
             with self.subTest(breaks=breaks):
+
                 async def test(world: Scripted, breaks: bool = breaks) -> None:
                     outcome = await answered_in_part(world, OK[:14], breaks)
                     self.assertEqual((outcome, world.kept), (Outcome.RESET, 0))
@@ -299,6 +328,7 @@
 
     def test_a_pool_that_is_closed_during_a_call_does_not_get_its_connection_back(self) -> None:
         """By a drain, or by the decisions' word that idle connections are too many there."""
+
         async def test(world: Scripted) -> None:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(world.call)
@@ -337,10 +367,13 @@
                         pass  # no other step of the loop, and no timer of its
             return data
 
-        settings = SETTINGS | {"services": [
-            {"name": "scores", "effect": "safe", "on_time": 100_000, "hard_limit": 5_000_000},
-            {"name": "orders", "effect": "keyed", "on_time": 100_000, "hard_limit": 5_000_000, "window": 200_000},
-            {"name": "entries", "effect": "unsafe", "on_time": 100_000, "hard_limit": 5_000_000}]}
+        settings = SETTINGS | {
+            "services": [
+                {"name": "scores", "effect": "safe", "on_time": 100_000, "hard_limit": 5_000_000},
+                {"name": "orders", "effect": "keyed", "on_time": 100_000, "hard_limit": 5_000_000, "window": 200_000},
+                {"name": "entries", "effect": "unsafe", "on_time": 100_000, "hard_limit": 5_000_000},
+            ]
+        }
         with mock.patch.object(Link, "receive", behind):
             async with world.relay(settings=settings) as relay:
                 due = world.clock.now() + 400
--- a/tests/orders/test_list.py
+++ b/tests/orders/test_list.py
@@ -240,10 +240,21 @@
 
     def test_who_is_known_stays_as_it_was(self) -> None:
         good = member("10.0.0.1:80", "s-1")
-        for change in ({"host_port": "nowhere"}, {"host_port": None}, {"phase": "Rady"}, {"phase": None}, {"cell": "x"},
-                       {"size": []}, {"up_since_ms": "yesterday"}, {"size": math.inf}, {"size": math.nan},
-                       {"size": -1}, {"up_since_ms": math.inf}, {"cell": math.inf},
-                       {"host_port": "10.0.0.2:" + "9" * 5_000}):
+        for change in (
+            {"host_port": "nowhere"},
+            {"host_port": None},
+            {"phase": "Rady"},
+            {"phase": None},
+            {"cell": "x"},
+            {"size": []},
+            {"up_since_ms": "yesterday"},
+            {"size": math.inf},
+            {"size": math.nan},
+            {"size": -1},
+            {"up_since_ms": math.inf},
+            {"cell": math.inf},
+            {"host_port": "10.0.0.2:" + "9" * 5_000},
+        ):
             with self.subTest(change=change):
                 bad = member("10.0.0.2:80", "s-2") | change
                 self.assertEqual(self.phases(good, bad), {1: Phase.READY, 2: Phase.READY})
@@ -266,8 +277,14 @@
 
     def test_a_list_of_another_form_is_no_list(self) -> None:
         """Nobody is gone by it."""
-        for told in ({"members": {}}, {"members": ""}, {"members": None}, {"revision": math.inf},
-                     {"revision": math.nan}, {"revision": []}):
+        for told in (
+            {"members": {}},
+            {"members": ""},
+            {"members": None},
+            {"revision": math.inf},
+            {"revision": math.nan},
+            {"revision": []},
+        ):
             with self.subTest(told=told), self.assertRaises(ListError):
                 self.directory.read(self.whole() | told)
             self.assertIsNotNone(self.directory.get(2))
@@ -275,8 +292,13 @@
     @in_world
     async def test_an_answer_that_cannot_be_read_is_a_failure_and_breaks_nothing_off(self, world: World) -> None:
         """Figures without an end, an endless nest, and a word that is none."""
-        spoilt = [b"[" * 100_000, b'{"revision": 1e999, "complete": true, "members": []}', b"\xff\xfe", b"null",
-                  b'{"revision": 9, "complete": true, "members": {}}']
+        spoilt = [
+            b"[" * 100_000,
+            b'{"revision": 1e999, "complete": true, "members": []}',
+            b"\xff\xfe",
+            b"null",
+            b'{"revision": 9, "complete": true, "members": {}}',
+        ]
         kept = world.platform.handle
 
         async def discovery(request: Any) -> Any:
--- a/tests/orders/test_restart.py
+++ b/tests/orders/test_restart.py
@@ -22,8 +22,15 @@
 
 def settings(effect: str, aim_ms: int = 2_500, deadline_ms: int = 24_000, **caps: int) -> dict[str, Any]:
     """The world's settings with one class, whose path is /orders."""
-    services = [{"name": "orders", "effect": effect, "on_time": aim_ms * 1_000, "hard_limit": deadline_ms * 1_000,
-                 "window": 6_000_000 if effect == "keyed" else 0}]
+    services = [
+        {
+            "name": "orders",
+            "effect": effect,
+            "on_time": aim_ms * 1_000,
+            "hard_limit": deadline_ms * 1_000,
+            "window": 6_000_000 if effect == "keyed" else 0,
+        }
+    ]
     return SETTINGS | {"services": services, "caps": SETTINGS["caps"] | caps}
 
 
@@ -74,6 +81,7 @@
     def test_no_byte_had_left_so_the_next_life_makes_the_call(self) -> None:
         for effect in EFFECTS:
             with self.subTest(effect=effect):
+
                 async def test(world: World, effect: str = effect) -> None:
                     told = settings(effect)
                     async with killed_with(world, 1, told):
@@ -101,8 +109,9 @@
                 await until(lambda: any(entry.attempts for entry in in_journal(world)))
         (entry,) = in_journal(world)
         self.assertTrue(entry.attempts)
-        self.assertEqual([(was.may_have_run, was.settled) for was in entry.attempts],
-                         [(False, True)] * len(entry.attempts))
+        self.assertEqual(
+            [(was.may_have_run, was.settled) for was in entry.attempts], [(False, True)] * len(entry.attempts)
+        )
         async with world.relay(settings=told) as relay:
             await until(lambda: relay.idle)
         self.assertEqual((len(world.endpoint.requests), world.notices), (1, []))
@@ -123,8 +132,7 @@
         self.assertEqual(written, [1])
         async with world.relay(settings=told) as relay:  # it may have run, and may not go again
             await until(lambda: relay.idle)
-        self.assertEqual((len(world.endpoint.requests), [told["outcome"] for told in world.notices]),
-                         (1, ["given_up"]))
+        self.assertEqual((len(world.endpoint.requests), [told["outcome"] for told in world.notices]), (1, ["given_up"]))
 
 
 class WhatIsRestoredAndUntried(unittest.TestCase):
@@ -150,11 +158,21 @@
     def test_so_does_what_a_planned_end_left(self) -> None:
         for effect in EFFECTS:
             with self.subTest(effect=effect):
-                play(lambda world, effect=effect: self._count(  # type: ignore[misc]
-                    world, effect, 2_500, 24_000, 600, 12, False, True))
+                play(
+                    lambda world, effect=effect: self._count(  # type: ignore[misc]
+                        world, effect, 2_500, 24_000, 600, 12, False, True
+                    )
+                )
 
     async def _count(
-        self, world: World, effect: str, aim: int, deadline: int, left: int, count: int, listed: bool,
+        self,
+        world: World,
+        effect: str,
+        aim: int,
+        deadline: int,
+        left: int,
+        count: int,
+        listed: bool,
         planned: bool = False,
     ) -> None:
         world.clock = ManualClock()
@@ -255,7 +273,7 @@
             def breaks(event: i.Withdrawn) -> None:
                 raise IndexError
 
-            with (mock.patch.object(relay._sender, "_withdrawn", breaks), mock.patch.object(relay, "feed", behind)):
+            with mock.patch.object(relay._sender, "_withdrawn", breaks), mock.patch.object(relay, "feed", behind):
                 release.set()
                 await until(lambda: relay.idle)
                 self.assertEqual(relay._sender._slots_taken, 0)
--- a/tests/orders/test_settings.py
+++ b/tests/orders/test_settings.py
@@ -28,10 +28,15 @@
 STARTS: dict[str, dict[str, Any]] = {
     "one class": services({}),
     "five classes of every effect": services(
-        {"name": "a", "effect": "unsafe"}, {"name": "b", "effect": "safe"}, {"name": "c"}, {"name": "d", "window": 0},
-        {"name": "e", "effect": "safe", "on_time": 1_000}),
-    "names that a path may hold": services(*(
-        {"name": name} for name in ("a.b", "x~y", "p_q-1", "a b", "a/b", "é", "?%"))),
+        {"name": "a", "effect": "unsafe"},
+        {"name": "b", "effect": "safe"},
+        {"name": "c"},
+        {"name": "d", "window": 0},
+        {"name": "e", "effect": "safe", "on_time": 1_000},
+    ),
+    "names that a path may hold": services(
+        *({"name": name} for name in ("a.b", "x~y", "p_q-1", "a b", "a/b", "é", "?%"))
+    ),
     "a deadline that is the aim": services({"on_time": 2_000_000, "hard_limit": 2_000_000}),
     "a deadline near a call's length": services({"on_time": 300_000, "hard_limit": 300_000, "effect": "safe"}),
     "a window shorter than an attempt": services({"window": 1}),
@@ -39,14 +44,17 @@
     "room for one": caps(open_cap=1),
     "room for two": caps(open_cap=2),
     "one slot": SETTINGS | {"family_info": {"call_slots": 1}},
-    "nothing but what is needed": {"services": SETTINGS["services"], "caps": {"open_cap": 5, "send_cap": 1},
-                                   "family_info": {"call_slots": 1}},
+    "nothing but what is needed": {
+        "services": SETTINGS["services"],
+        "caps": {"open_cap": 5, "send_cap": 1},
+        "family_info": {"call_slots": 1},
+    },
     "everything absent is null": SETTINGS | {"load_report": None, "obligations": None, "zones": None, "tenants": None},
     "no reports": SETTINGS | {"load_report": {"names": [], "via": "none"}},
     "one zone": SETTINGS | {"zones": ["only"]},
     "many tenants": SETTINGS | {"tenants": [{"quota_per_s": n} for n in range(300)]},
-    "zero everywhere": caps(conn_idle=0, max_retry_after=0) | {
-        "obligations": {"ramp_time": 0, "stop_sending_within": 0}},
+    "zero everywhere": caps(conn_idle=0, max_retry_after=0)
+    | {"obligations": {"ramp_time": 0, "stop_sending_within": 0}},
     "a thousand relays": SETTINGS | {"balancers": 1_000},
     "rates": SETTINGS | {"weights": "nominal", "discovery": "on_request", "balancers": 2},
 }
--- a/tests/orders/test_shutdown.py
+++ b/tests/orders/test_shutdown.py
@@ -19,8 +19,10 @@
 from calicohitch.net.http import Link, ServerConnection
 from calicohitch.core.seam import Submission
 
-HEAD = (b"POST /orders HTTP/1.1\r\nHost: r\r\nReq-Id: a1\r\nReq-Deadline-Ms: 5000\r\nEnvelope: dest=7\r\n"
-        b"Idempotency-Key: k1\r\nContent-Length: 0\r\n")
+HEAD = (
+    b"POST /orders HTTP/1.1\r\nHost: r\r\nReq-Id: a1\r\nReq-Deadline-Ms: 5000\r\nEnvelope: dest=7\r\n"
+    b"Idempotency-Key: k1\r\nContent-Length: 0\r\n"
+)
 WHOLE = HEAD + b"\r\n"
 
 
@@ -28,6 +30,7 @@
     def test_more_signals_during_a_drain_end_nothing(self) -> None:
         for more in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
             with self.subTest(signal=more.name):
+
                 async def test(world: World, more: signal.Signals = more) -> None:
                     release = world.hold()
                     program = Program(world)
@@ -48,12 +51,14 @@
     async def test_a_stop_before_the_service_hears_signals_is_a_clean_one(self, world: World) -> None:
         """Sent by the process itself from inside an early import, so that the order is the same each time."""
         program = Program(world)
-        code = ("import os, signal, runpy, sys\n"
-                "class Early:\n"
-                "    def find_spec(self, name, path=None, target=None):\n"
-                "        if name == 'calicohitch.service': os.kill(os.getpid(), signal.SIGTERM)\n"
-                "sys.meta_path.insert(0, Early()); sys.argv[1:] = ['serve']\n"
-                "runpy.run_module('calicohitch', run_name='__main__')\n")
+        code = (
+            "import os, signal, runpy, sys\n"
+            "class Early:\n"
+            "    def find_spec(self, name, path=None, target=None):\n"
+            "        if name == 'calicohitch.service': os.kill(os.getpid(), signal.SIGTERM)\n"
+            "sys.meta_path.insert(0, Early()); sys.argv[1:] = ['serve']\n"
+            "runpy.run_module('calicohitch', run_name='__main__')\n"
+        )
         with ending(program.spawn([sys.executable, "-c", code])) as process:
             self.assertEqual(await exit_code(process), 0)
 
@@ -63,7 +68,8 @@
         line of the relay is read."""
         program = Program(world)
         (world.folder / "sitecustomize.py").write_text(
-            "import os, signal, sys\nsys.argv[0] != '-m' or os.kill(os.getpid(), signal.SIGHUP)\n")
+            "import os, signal, sys\nsys.argv[0] != '-m' or os.kill(os.getpid(), signal.SIGHUP)\n"
+        )
         run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
         self.assertIn(".venv/bin/python", run)
         command = run.replace(".venv/bin/python", sys.executable)
@@ -85,13 +91,15 @@
     @in_world
     async def test_a_signal_after_the_service_ends_nothing_badly(self, world: World) -> None:
         program = Program(world)
-        code = ("import os, signal, runpy, sys, anyio\n"
-                "run = anyio.run\n"
-                "def late(*args, **more):\n"
-                "    run(*args, **more)\n"
-                "    for n in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT): os.kill(os.getpid(), n)\n"
-                "anyio.run = late; sys.argv[1:] = ['serve']\n"
-                "runpy.run_module('calicohitch', run_name='__main__')\n")
+        code = (
+            "import os, signal, runpy, sys, anyio\n"
+            "run = anyio.run\n"
+            "def late(*args, **more):\n"
+            "    run(*args, **more)\n"
+            "    for n in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT): os.kill(os.getpid(), n)\n"
+            "anyio.run = late; sys.argv[1:] = ['serve']\n"
+            "runpy.run_module('calicohitch', run_name='__main__')\n"
+        )
         with ending(program.spawn([sys.executable, "-c", code])) as process:
             await program.until_ready()
             process.send_signal(signal.SIGTERM)
@@ -153,8 +161,10 @@
             link = await Link.connect(world.client)
             await until(lambda: world.clients.seats.count)
             relay.stopping = True
-            with mock.patch("calicohitch.intake.clients._READS_A_TURN", 0), \
-                    mock.patch("calicohitch.intake.clients._LAST_S", 0.02):  # the loop does not come to it any more
+            with (
+                mock.patch("calicohitch.intake.clients._READS_A_TURN", 0),
+                mock.patch("calicohitch.intake.clients._LAST_S", 0.02),
+            ):  # the loop does not come to it any more
                 await link.send(WHOLE)
                 await world.clients.finish()
             self.assertEqual((await answer_on(link))[9:12], b"503")
@@ -240,8 +250,10 @@
     @in_world
     async def test_a_request_that_waits_for_its_turn_is_not_taken_for_silence(self, world: World) -> None:
         """Its connection's time is up, or room is made, while the request is there and unread."""
-        with mock.patch("calicohitch.intake.clients._IDLE_S", 0.1), \
-                mock.patch("calicohitch.intake.clients._REQUEST_S", 0.1):
+        with (
+            mock.patch("calicohitch.intake.clients._IDLE_S", 0.1),
+            mock.patch("calicohitch.intake.clients._REQUEST_S", 0.1),
+        ):
             async with world.relay():
                 kept, fresh = await Link.connect(world.client), await Link.connect(world.client)
                 await kept.send(b"GET /health/ready HTTP/1.1\r\nHost: r\r\n\r\n")
@@ -259,8 +271,10 @@
         async with world.relay():
             asked, silent = await Link.connect(world.client), await Link.connect(world.client)
             await until(lambda: world.clients.seats.count == 2)
-            with mock.patch("calicohitch.intake.clients._READS_A_TURN", 0), \
-                    mock.patch("calicohitch.intake.seats.PATIENCE_S", 0):
+            with (
+                mock.patch("calicohitch.intake.clients._READS_A_TURN", 0),
+                mock.patch("calicohitch.intake.seats.PATIENCE_S", 0),
+            ):
                 await asked.send(WHOLE)
                 self.assertTrue(world.clients._make_room())
                 self.assertFalse(world.clients._make_room())
@@ -288,6 +302,7 @@
         """The kernel takes a part of the answer, or none of it, and the connection ends."""
         for part, open_after in ((20, True), (0, False)):
             with self.subTest(part=part):
+
                 async def test(world: World, part: int = part, open_after: bool = open_after) -> None:
                     world.members = []
                     async with world.relay() as relay:
@@ -356,8 +371,10 @@
             sleeps.append(seconds)
             await sleep(seconds)
 
-        with mock.patch("calicohitch.net.http.KeptConnection.request", hangs_once), \
-                mock.patch("calicohitch.net.notices.anyio.sleep", slept):
+        with (
+            mock.patch("calicohitch.net.http.KeptConnection.request", hangs_once),
+            mock.patch("calicohitch.net.notices.anyio.sleep", slept),
+        ):
             sender = notices.Notices(world.platform.address, told.append)
             sender.add(notices.Notice(1, "a1", notices.End(False)))
             async with anyio.create_task_group() as tasks:
--- a/tests/parties/etcd.py
+++ b/tests/parties/etcd.py
@@ -47,8 +47,11 @@
 
     async def start(self) -> None:
         self._server = grpc.aio.server()
-        for add in (rpc_pb2_grpc.add_KVServicer_to_server, rpc_pb2_grpc.add_LeaseServicer_to_server,
-                    rpc_pb2_grpc.add_WatchServicer_to_server):
+        for add in (
+            rpc_pb2_grpc.add_KVServicer_to_server,
+            rpc_pb2_grpc.add_LeaseServicer_to_server,
+            rpc_pb2_grpc.add_WatchServicer_to_server,
+        ):
             add(self, self._server)
         self.port = self._server.add_insecure_port("127.0.0.1:0")
         await self._server.start()
@@ -108,9 +111,13 @@
     def _put(self, request: Any) -> None:
         before = self.state.kvs.get(request.key)
         kv = self.state.kvs[request.key] = kv_pb2.KeyValue(
-            key=request.key, value=request.value, lease=request.lease, mod_revision=self.state.revision,
+            key=request.key,
+            value=request.value,
+            lease=request.lease,
+            mod_revision=self.state.revision,
             create_revision=before.create_revision if before else self.state.revision,
-            version=before.version + 1 if before else 1)
+            version=before.version + 1 if before else 1,
+        )
         self._log.append((self.state.revision, kv_pb2.Event(type=kv_pb2.Event.PUT, kv=kv)))
 
     def _tell(self) -> None:
@@ -176,8 +183,12 @@
             there, wanted = (kv.create_revision if kv else 0), compare.create_revision
         else:
             there, wanted = (kv.value if kv else b""), compare.value
-        return {rpc_pb2.Compare.EQUAL: there == wanted, rpc_pb2.Compare.GREATER: there > wanted,
-                rpc_pb2.Compare.LESS: there < wanted, rpc_pb2.Compare.NOT_EQUAL: there != wanted}[compare.result]
+        return {
+            rpc_pb2.Compare.EQUAL: there == wanted,
+            rpc_pb2.Compare.GREATER: there > wanted,
+            rpc_pb2.Compare.LESS: there < wanted,
+            rpc_pb2.Compare.NOT_EQUAL: there != wanted,
+        }[compare.result]
 
     def _do(self, op: Any) -> Any:
         if op.HasField("request_put"):
@@ -186,7 +197,8 @@
         if op.HasField("request_delete_range"):
             gone = self._delete(op.request_delete_range.key)
             return rpc_pb2.ResponseOp(
-                response_delete_range=rpc_pb2.DeleteRangeResponse(header=self._header(), deleted=int(gone)))
+                response_delete_range=rpc_pb2.DeleteRangeResponse(header=self._header(), deleted=int(gone))
+            )
         found = self._found(op.request_range)
         return rpc_pb2.ResponseOp(response_range=rpc_pb2.RangeResponse(header=self._header(), kvs=found))
 
@@ -246,8 +258,11 @@
             while self.down or self.refusing:
                 await asyncio.sleep(0.02)
             if told < self.compacted:
-                answers.put_nowait(rpc_pb2.WatchResponse(header=self._header(), watch_id=number, canceled=True,
-                    compact_revision=self.compacted))
+                answers.put_nowait(
+                    rpc_pb2.WatchResponse(
+                        header=self._header(), watch_id=number, canceled=True, compact_revision=self.compacted
+                    )
+                )
                 return
             by_revision: dict[int, list[Any]] = {}
             for revision, event in self._log:
--- a/tests/parties/grpc_world.py
+++ b/tests/parties/grpc_world.py
@@ -25,10 +25,13 @@
 SERVICE = "board.Scores"
 KEYED, SAFE = 0, 1
 ROUTES = (
-    Route(SERVICE, "Post", SAFE, 7), Route(SERVICE, "Enter", KEYED, 7),
+    Route(SERVICE, "Post", SAFE, 7),
+    Route(SERVICE, "Enter", KEYED, 7),
     Route(SERVICE, "Anywhere", SAFE, None, "dest"),
-    Route(SERVICE, "Upload", SAFE, 7, streams=True), Route(SERVICE, "Chat", SAFE, 7, streams=True),
-    Route(SERVICE, "Watch", SAFE, 7), Route(SERVICE, "EnterAll", KEYED, 7),
+    Route(SERVICE, "Upload", SAFE, 7, streams=True),
+    Route(SERVICE, "Chat", SAFE, 7, streams=True),
+    Route(SERVICE, "Watch", SAFE, 7),
+    Route(SERVICE, "EnterAll", KEYED, 7),
 )
 Handler = Callable[[Any, grpc.ServicerContext], Any]
 
@@ -46,8 +49,9 @@
         self.calls: list[tuple[str, dict[str, Any], float]] = []
         self.effects = 0
         self.lock = threading.Lock()
-        self.server = grpc.server(futures.ThreadPoolExecutor(64), (self,), options=(("grpc.so_reuseport", 0),),
-            compression=compression)
+        self.server = grpc.server(
+            futures.ThreadPoolExecutor(64), (self,), options=(("grpc.so_reuseport", 0),), compression=compression
+        )
         self.address = Address("127.0.0.1", self.server.add_insecure_port("127.0.0.1:0"))
         self.server.start()
 
@@ -104,8 +108,10 @@
     from calicohitch.journal import Journal
 
     told = GrpcSettings(HERE, ROUTES, (Speaker(id="g-0"), Speaker(id="g-1")), **changes)
-    world.members = [member(str(world.endpoint.address)),
-        *(member(str(address), f"g-{n}") for n, address in enumerate(endpoints))]
+    world.members = [
+        member(str(world.endpoint.address)),
+        *(member(str(address), f"g-{n}") for n, address in enumerate(endpoints)),
+    ]
     config = world.config(**({"settings": settings} if settings else {}))
     relay = Relay(config, world.clock, Journal(world.folder, 3e6), None, told.speaks)
     relay.deliver_by(PROTOCOL, GrpcDelivery(world.clock, 1_500.0, 64, told, ("x0", "x1")))
--- a/tests/parties/raw_http2.py
+++ b/tests/parties/raw_http2.py
@@ -35,8 +35,19 @@
 
     def request(self, path: str, end: bool = False, more: tuple[tuple[str, str], ...] = ()) -> int:
         stream = self.state.get_next_available_stream_id()
-        self.state.send_headers(stream, [(":method", "POST"), (":scheme", "http"), (":path", path), (":authority", "x"),
-            ("content-type", "application/grpc"), ("te", "trailers"), *more], end_stream=end)
+        self.state.send_headers(
+            stream,
+            [
+                (":method", "POST"),
+                (":scheme", "http"),
+                (":path", path),
+                (":authority", "x"),
+                ("content-type", "application/grpc"),
+                ("te", "trailers"),
+                *more,
+            ],
+            end_stream=end,
+        )
         return stream
 
     def closed(self, limit_s: float = 10.0) -> int | None:
--- a/tests/recovery/test_beliefs.py
+++ b/tests/recovery/test_beliefs.py
@@ -27,9 +27,15 @@
 
 
 def known(**changes: Any) -> Beliefs:
-    told = Beliefs(WRITTEN, 7, "127.0.0.1:8500", 41, (MEMBER,),
+    told = Beliefs(
+        WRITTEN,
+        7,
+        "127.0.0.1:8500",
+        41,
+        (MEMBER,),
         (KnownRoute(7, "", 80.0, 0.5, 2.0, True, 999_000.0, 1_003_000.0), KnownRoute(8, "s-9", 20.0)),
-        {"orders": (90, 100)})
+        {"orders": (90, 100)},
+    )
     return dataclasses.replace(told, **changes)
 
 
@@ -56,8 +62,14 @@
 
 
 class Ages(unittest.TestCase):
-    def told(self, passed: float, set_by: float = 0.0, discovery: str = "127.0.0.1:8500", revision: int = 40,
-             outlast: bool = False) -> beliefs.Believed:
+    def told(
+        self,
+        passed: float,
+        set_by: float = 0.0,
+        discovery: str = "127.0.0.1:8500",
+        revision: int = 40,
+        outlast: bool = False,
+    ) -> beliefs.Believed:
         return believe(known(), at(passed, set_by), discovery, revision, ("orders", "scores"), outlast)
 
     def test_each_part_has_an_age_beyond_which_it_is_not_believed(self) -> None:
@@ -101,9 +113,16 @@
         self.assertEqual(told.on_time, {"scores": (1, 2)})
 
     @settings(max_examples=200, deadline=None)
-    @given(st.one_of(st.binary(max_size=200), st.builds(
-        lambda at, new: encode(known())[:at] + new + encode(known())[at + len(new):],
-        st.integers(0, 300), st.binary(max_size=20))))
+    @given(
+        st.one_of(
+            st.binary(max_size=200),
+            st.builds(
+                lambda at, new: encode(known())[:at] + new + encode(known())[at + len(new) :],
+                st.integers(0, 300),
+                st.binary(max_size=20),
+            ),
+        )
+    )
     def test_any_bytes_are_believed_whole_or_not_at_all(self, data: bytes) -> None:
         try:
             self.assertEqual(decode(data), known())
@@ -144,6 +163,7 @@
                     if done > most:
                         raise Killed
                     return real[name](*args, **kwargs)
+
                 return call
 
             with mock.patch.multiple(os, **{name: counted(name) for name in real}):
@@ -198,8 +218,14 @@
         mono.start()
         self.addCleanup(mono.stop)
         first = Memory(self.folder, 3, ("orders",))
-        first.keep(wall, Recalled((RouteWas(7, 4, (80.0, 0.5, 2.0), True, 999_000_000, 0),), ((9, 10),)),
-            lambda number: f"s-{number}", "127.0.0.1:8500", 41, lambda: [dict(MEMBER)])
+        first.keep(
+            wall,
+            Recalled((RouteWas(7, 4, (80.0, 0.5, 2.0), True, 999_000_000, 0),), ((9, 10),)),
+            lambda number: f"s-{number}",
+            "127.0.0.1:8500",
+            41,
+            lambda: [dict(MEMBER)],
+        )
         second = Memory(self.folder, 4, ("orders",))
         second.read(wall + 500.0, "127.0.0.1:8500", 40)
         told = second.recalled({"s-4": 12}.get, wall + 500.0)
--- a/tests/recovery/test_claim.py
+++ b/tests/recovery/test_claim.py
@@ -136,8 +136,12 @@
         file.write_text("")
         with self.assertRaisesRegex(FolderProblem, "not a folder: move the file away"):
             Watcher(file).look()
-        for code, hint in ((errno.EROFS, "mount it writable"), (errno.EACCES, "may not write there"),
-                           (errno.ENOSPC, "make room"), (errno.EIO, "look at its disk")):
+        for code, hint in (
+            (errno.EROFS, "mount it writable"),
+            (errno.EACCES, "may not write there"),
+            (errno.ENOSPC, "make room"),
+            (errno.EIO, "look at its disk"),
+        ):
             with self.subTest(hint), mock.patch("os.open", side_effect=OSError(code, os.strerror(code))):
                 with self.assertRaisesRegex(FolderProblem, hint):
                     self.watcher().look()
@@ -154,6 +158,7 @@
 
     def test_a_kill_after_each_file_operation_of_a_start(self) -> None:
         """The next start finds a folder that it can use, with a higher number, and no message lost."""
+
         class Killed(BaseException):
             pass
 
@@ -179,6 +184,7 @@
                         if done > most:
                             raise Killed
                         return real[operation](*args, **kwargs)
+
                     return call
 
                 held: list[int] = []
@@ -268,13 +274,15 @@
     """The same between processes of the program."""
 
     def test_a_second_process_ends_with_a_line_and_a_code(self) -> None:
-        code = ("import sys, anyio; from pathlib import Path; from calicohitch.recovery import claim\n"
-                "async def main():\n"
-                "    held = await claim.claimed(Path(sys.argv[1]), 0.3)\n"
-                "    print('held', flush=True)\n"
-                "    while not held.lost: held.renew(); await anyio.sleep(0.1)\n"
-                "    print(held.lost, flush=True)\n"
-                "anyio.run(main)")
+        code = (
+            "import sys, anyio; from pathlib import Path; from calicohitch.recovery import claim\n"
+            "async def main():\n"
+            "    held = await claim.claimed(Path(sys.argv[1]), 0.3)\n"
+            "    print('held', flush=True)\n"
+            "    while not held.lost: held.renew(); await anyio.sleep(0.1)\n"
+            "    print(held.lost, flush=True)\n"
+            "anyio.run(main)"
+        )
         with tempfile.TemporaryDirectory() as name:
             first = subprocess.Popen([sys.executable, "-c", code, name], stdout=subprocess.PIPE, text=True)
             try:
--- a/tests/recovery/test_corpus.py
+++ b/tests/recovery/test_corpus.py
@@ -41,11 +41,16 @@
                 entries = known.entries
                 self.assertEqual(sorted(entries), told["open"])
                 self.assertEqual({str(n): len(one.attempts) for n, one in entries.items()}, told["attempts"])
-                for name, chosen in (("ends", lambda one: one.end), ("doubtful", lambda one: one.doubtful),
-                                     ("bodiless", lambda one: one.bodiless)):
+                for name, chosen in (
+                    ("ends", lambda one: one.end),
+                    ("doubtful", lambda one: one.doubtful),
+                    ("bodiless", lambda one: one.bodiless),
+                ):
                     self.assertEqual(sorted(n for n, one in entries.items() if chosen(one)), told[name], name)
-                self.assertEqual((len(known.damage), sum(one.mended for one in known.damage), known.orphans),
-                    (told["stretches"], told["mended"], told["orphans"]))
+                self.assertEqual(
+                    (len(known.damage), sum(one.mended for one in known.damage), known.orphans),
+                    (told["stretches"], told["mended"], told["orphans"]),
+                )
                 known.close()
 
     def test_after_any_damage_a_journal_opens_serves_and_gives_no_number_again(self) -> None:
--- a/tests/recovery/test_damage.py
+++ b/tests/recovery/test_damage.py
@@ -108,8 +108,10 @@
         data[middle : middle + 512] = b"\xff" * 512
         path.write_bytes(data)
         known = self.journal()
-        self.assertEqual([(e.number, e.id, e.bodiless, e.doubtful) for e in known.entries.values()],
-            [(1, "m1", False, True), (2, "m2", True, True), (3, "m3", False, False)])
+        self.assertEqual(
+            [(e.number, e.id, e.bodiless, e.doubtful) for e in known.entries.values()],
+            [(1, "m1", False, True), (2, "m2", True, True), (3, "m3", False, False)],
+        )
         second = known.entries[2]
         self.assertEqual(end_of(second, KEYED), End(True))
         self.assertEqual(end_of(second, UNSAFE), End(False))
@@ -158,8 +160,13 @@
         journal.taken(entry(2))
         journal.close()
         (good,) = self.segments()
-        cases = {"empty": b"", "zeros": bytes(5_000), "a length of 4 GB": b"\xff" * 8 + bytes(50),
-                 "doubled": good.read_bytes(), "text": b"not a journal at all\n" * 40}
+        cases = {
+            "empty": b"",
+            "zeros": bytes(5_000),
+            "a length of 4 GB": b"\xff" * 8 + bytes(50),
+            "doubled": good.read_bytes(),
+            "text": b"not a journal at all\n" * 40,
+        }
         for name, data in cases.items():
             with self.subTest(name):
                 (self.folder / "journal-00000007.log").write_bytes(data)
@@ -178,8 +185,9 @@
         (self.folder / "journal-00000003.log").mkdir()
         known = self.journal()
         known.taken(entry(1))
-        self.assertEqual([one.what for one in known.damage],
-            ["it cannot be read (Is a directory) and is left as it is"])
+        self.assertEqual(
+            [one.what for one in known.damage], ["it cannot be read (Is a directory) and is left as it is"]
+        )
         self.assertEqual((self.folder / "journal-notes.log").read_text(), "mine")
         self.assertEqual(set(self.journal().entries), {1})
 
@@ -239,8 +247,14 @@
 
 class Fuzzed(unittest.TestCase):
     @settings(max_examples=300, deadline=None)
-    @given(st.lists(st.one_of(st.binary(max_size=60), st.sampled_from([
-        struct.pack(">II", 9, 0) + bytes(9), bytes(40), b"\x00\x0f" * 30, b"\xff" * 20]))))
+    @given(
+        st.lists(
+            st.one_of(
+                st.binary(max_size=60),
+                st.sampled_from([struct.pack(">II", 9, 0) + bytes(9), bytes(40), b"\x00\x0f" * 30, b"\xff" * 20]),
+            )
+        )
+    )
     def test_any_bytes_are_read_to_their_end(self, parts: list[bytes]) -> None:
         data = b"".join(parts)
         at = 0
--- a/tests/recovery/test_formats.py
+++ b/tests/recovery/test_formats.py
@@ -39,8 +39,9 @@
             journal.close()
             (path,) = Path(name).glob("journal-*.log")
             first = 1_796_000_000 << 32
-            self.assertEqual(read_by_format_1(path.read_bytes()),
-                {0: [8], first: [1, 2], first + 1: [1, 2], first + 2: [1, 2, 5]})
+            self.assertEqual(
+                read_by_format_1(path.read_bytes()), {0: [8], first: [1, 2], first + 1: [1, 2], first + 2: [1, 2, 5]}
+            )
 
 
 if __name__ == "__main__":
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -13,9 +13,12 @@
 from calicohitch.recovery.reading import fleet, read
 
 TEXT = [
-    "19:05:00.100 INFO life 1796 has the folder /state", "19:05:00.140 INFO return: up after 0 ms",
-    "19:05:00.141 INFO return: folder after 41 ms (18 restored, 2 damaged)", "19:05:00.2 INFO return: list after 71 ms",
-    "19:05:01.2 INFO return: second 0: 11 restored, 4 fresh, 15 served", "19:05:01.3 INFO return: full after 980 ms",
+    "19:05:00.100 INFO life 1796 has the folder /state",
+    "19:05:00.140 INFO return: up after 0 ms",
+    "19:05:00.141 INFO return: folder after 41 ms (18 restored, 2 damaged)",
+    "19:05:00.2 INFO return: list after 71 ms",
+    "19:05:01.2 INFO return: second 0: 11 restored, 4 fresh, 15 served",
+    "19:05:01.3 INFO return: full after 980 ms",
     "19:06:00.0 INFO something else",
 ]
 
@@ -64,8 +67,9 @@
         back.answered(90.0, 7)
         back.did(90.0, Did.SERVED, 5)
         self.assertTrue(back.over and not back.told)
-        self.assertEqual([name for name, _ in self.passed(back, 250.0)],
-            ["up", "folder", "list", "limits", "backlog", "full"])
+        self.assertEqual(
+            [name for name, _ in self.passed(back, 250.0)], ["up", "folder", "list", "limits", "backlog", "full"]
+        )
         self.assertEqual(back.seconds, [(0, {"restored": 1, "served": 1})])
         self.assertTrue(back.told)
 
@@ -99,8 +103,12 @@
             log.write_text("\n".join(TEXT))
 
             def run(*arguments: str) -> subprocess.CompletedProcess[str]:
-                return subprocess.run([sys.executable, "-m", "calicohitch", "recovery", *arguments],
-                    capture_output=True, text=True, timeout=60)
+                return subprocess.run(
+                    [sys.executable, "-m", "calicohitch", "recovery", *arguments],
+                    capture_output=True,
+                    text=True,
+                    timeout=60,
+                )
 
             done = run(str(log), "--chart", str(chart))
             self.assertEqual(done.returncode, 0, done.stderr)
--- a/tests/takeover/model.py
+++ b/tests/takeover/model.py
@@ -243,8 +243,9 @@
             wire = self.wires.get(relay)
             if (wire is None or wire.closed) and relay in self.world.up:
                 self.wires[relay] = Wire(self, self.tenure.epoch, self.world.up[relay])
-                self.wires[relay].down.append(frames.Hello(1, "model", self.name, self.tenure.epoch, PARTS, relay,
-                    self.now()))
+                self.wires[relay].down.append(
+                    frames.Hello(1, "model", self.name, self.tenure.epoch, PARTS, relay, self.now())
+                )
         for wire in self.wires.values():
             if not wire.closed and wire.link:
                 wire.down.append(frames.Beat(self.now()))
@@ -261,7 +262,8 @@
         if target != self.copying.published:
             self.copying.publishing(target)
             self.tenure.published = tuple(
-                tuple(dict.fromkeys(old + new)) for old, new in zip(self.copying.published, target, strict=True))
+                tuple(dict.fromkeys(old + new)) for old, new in zip(self.copying.published, target, strict=True)
+            )
             self.disk.kept = replace(self.disk.kept, published=True)
             done = self.commit(self.tenure.publish(self.roster, target))
             if done:
@@ -375,10 +377,12 @@
                     self.claims.not_claimed(owner, epoch)
             if done:
                 held = self.disk.holdings[owner, epoch]
-                taken = [Message(wire_id, attempts, (owner, epoch, part_of(wire_id, PARTS)))
-                         for wire_id, (attempts, origin) in sorted(held.known.items())
-                         if part_of(wire_id, PARTS) in due
-                         and (origin is None or self.roster.claims.get(origin) == Claim(owner, epoch, True))]
+                taken = [
+                    Message(wire_id, attempts, (owner, epoch, part_of(wire_id, PARTS)))
+                    for wire_id, (attempts, origin) in sorted(held.known.items())
+                    if part_of(wire_id, PARTS) in due
+                    and (origin is None or self.roster.claims.get(origin) == Claim(owner, epoch, True))
+                ]
                 for message in taken:
                     self.disk.messages[message.id] = message
                     self._open(message)
--- a/tests/takeover/test_decisions.py
+++ b/tests/takeover/test_decisions.py
@@ -161,12 +161,17 @@
         self.roster = Roster(KEYS)
         self.held = {("r0", 1): "x1"}
         self.lease = self.store.grant_now(1_000.0)
-        self.store.commit_now([], [
-            Put(KEYS.generation, b"g"), Put(KEYS.epoch("r0"), b"1"),
-            Put(KEYS.member("r0"), write_record(Member(1, 1, "h:1")), self.lease),
-            Put(KEYS.member("r1"), write_record(Member(1, 1, "h:2"))),
-            Put(KEYS.member("r2"), write_record(Member(1, 1, "h:3"))),
-            Put(KEYS.work("r0", 1), write_record(Work(State.OWNED, "g", ((H1, H2), (H2, H1)))))])
+        self.store.commit_now(
+            [],
+            [
+                Put(KEYS.generation, b"g"),
+                Put(KEYS.epoch("r0"), b"1"),
+                Put(KEYS.member("r0"), write_record(Member(1, 1, "h:1")), self.lease),
+                Put(KEYS.member("r1"), write_record(Member(1, 1, "h:2"))),
+                Put(KEYS.member("r2"), write_record(Member(1, 1, "h:3"))),
+                Put(KEYS.work("r0", 1), write_record(Work(State.OWNED, "g", ((H1, H2), (H2, H1))))),
+            ],
+        )
         self.claims = Claims("r1", TERM, 0.0, began=0.0)
         self.due(0.0)
 
@@ -390,9 +395,11 @@
 
 
 class File(unittest.TestCase):
-    GOOD = ('fleet "main" zone="a" {\n store "127.0.0.1:2379" timeout-ms=500\n listen "127.0.0.1:7400"\n'
-            ' lease ttl-ms=3000 renew-ms=800 pause-ms=100\n copies count=1 parts=4\n'
-            ' class "x" copy="first" without="alone"\n class "y" copy="none"\n}')
+    GOOD = (
+        'fleet "main" zone="a" {\n store "127.0.0.1:2379" timeout-ms=500\n listen "127.0.0.1:7400"\n'
+        " lease ttl-ms=3000 renew-ms=800 pause-ms=100\n copies count=1 parts=4\n"
+        ' class "x" copy="first" without="alone"\n class "y" copy="none"\n}'
+    )
 
     def read(self, text: str) -> object:
         with tempfile.TemporaryDirectory() as folder:
@@ -403,19 +410,22 @@
     def test_what_it_says(self) -> None:
         told = self.read(self.GOOD)
         self.assertEqual((told.name, told.zone, told.ttl_ms, told.copies), ("main", "a", 3_000.0, 1))
-        self.assertEqual([(mode.when, mode.without) for mode in told.classes],
-            [("first", "alone"), ("none", "refuse"), ("first", "refuse")])
+        self.assertEqual(
+            [(mode.when, mode.without) for mode in told.classes],
+            [("first", "alone"), ("none", "refuse"), ("first", "refuse")],
+        )
 
     def test_contradictions_are_named_with_their_place(self) -> None:
         for old, new, complaint in (
-                ("renew-ms=800", "renew-ms=1600", "fleet > lease: two renewals (1600 ms each)"),
-                ("count=1", "count=0", "fleet > class: it needs copies and none are kept"),
-                ('class "x"', 'class "xx"', "the class must be one of x, y, z, not 'xx'; did you mean x?"),
-                ("parts=4", "parts=4 beat-ms=1500", "fleet > copies: three beats (1500 ms each)"),
-                (' listen "127.0.0.1:7400"\n', "", 'listen is missing; add it, as in listen "127.0.0.1:2379"'),
-                ("127.0.0.1:2379", "etcd", "it must be HOST:PORT, not 'etcd'"),
-                ('copy="first"', 'copy="frist"', "copy must be one of first, behind, none, not 'frist'"),
-                ('"main"', "", "the fleet's name is missing")):
+            ("renew-ms=800", "renew-ms=1600", "fleet > lease: two renewals (1600 ms each)"),
+            ("count=1", "count=0", "fleet > class: it needs copies and none are kept"),
+            ('class "x"', 'class "xx"', "the class must be one of x, y, z, not 'xx'; did you mean x?"),
+            ("parts=4", "parts=4 beat-ms=1500", "fleet > copies: three beats (1500 ms each)"),
+            (' listen "127.0.0.1:7400"\n', "", 'listen is missing; add it, as in listen "127.0.0.1:2379"'),
+            ("127.0.0.1:2379", "etcd", "it must be HOST:PORT, not 'etcd'"),
+            ('copy="first"', 'copy="frist"', "copy must be one of first, behind, none, not 'frist'"),
+            ('"main"', "", "the fleet's name is missing"),
+        ):
             with self.subTest(new=new), self.assertRaises(ConfigError) as caught:
                 self.read(self.GOOD.replace(old, new))
             self.assertIn(complaint, str(caught.exception))
--- a/tests/takeover/test_frames.py
+++ b/tests/takeover/test_frames.py
@@ -12,10 +12,18 @@
 from calicohitch.takeover.frames import LONGEST, Ack, BadFrame, Beat, Begin, Hello, Reader, Record, Whole, encode
 
 ALL: list[frames.Frame] = [
-    Hello(1, "f", "r0", 3, 4, "r1", 12.5), frames.Welcome(1, "r1", 2, "ab"), Begin(1, 0),
+    Hello(1, "f", "r0", 3, 4, "r1", 12.5),
+    frames.Welcome(1, "r1", 2, "ab"),
+    Begin(1, 0),
     Record(2, 0, b"\x00" * 70_000),
-    Whole(3, 0), frames.Drop(4, 1), frames.Wait(5, -3, 99.0), Beat(13.0, 1.0), Ack(5, 13.0, 14.0), frames.Full(1, "no"),
-    frames.Denied("why")]
+    Whole(3, 0),
+    frames.Drop(4, 1),
+    frames.Wait(5, -3, 99.0),
+    Beat(13.0, 1.0),
+    Ack(5, 13.0, 14.0),
+    frames.Full(1, "no"),
+    frames.Denied("why"),
+]
 
 
 class Frames(unittest.TestCase):
@@ -33,10 +41,14 @@
             return len(body).to_bytes(4, "big") + body
 
         cases = {
-            "of 0 bytes": b"\0\0\0\0", "of 4294967295 bytes": b"\xff\xff\xff\xff",
-            "at most": (LONGEST + 1).to_bytes(4, "big"), "cannot be read": b"\0\0\0\1\xc1",
-            "Invalid value 99": framed([99, 1]), "Expected `int`": framed([4, "1", 0]),
-            "at least length": framed([6, 1]), "Expected `array`": framed({"seq": 1}),
+            "of 0 bytes": b"\0\0\0\0",
+            "of 4294967295 bytes": b"\xff\xff\xff\xff",
+            "at most": (LONGEST + 1).to_bytes(4, "big"),
+            "cannot be read": b"\0\0\0\1\xc1",
+            "Invalid value 99": framed([99, 1]),
+            "Expected `int`": framed([4, "1", 0]),
+            "at least length": framed([6, 1]),
+            "Expected `array`": framed({"seq": 1}),
         }
         for why, data in cases.items():
             with self.subTest(why), self.assertRaisesRegex(BadFrame, why):
--- a/tests/takeover/test_membership.py
+++ b/tests/takeover/test_membership.py
@@ -48,7 +48,9 @@
         async def bounded() -> None:
             with anyio.fail_after(20):
                 await test(self)
+
         asyncio.run(bounded())
+
     return run
 
 
@@ -62,8 +64,9 @@
     def member(self, name: str, folder: str = "") -> Membership:
         place = self.folder / (folder or name)
         place.mkdir(exist_ok=True)
-        return Membership(self.store, Tenure(KEYS, name, 2, Member(0, 1, f"{name}:1")), Proof(Term(600.0, 50.0)), place,
-            SETTINGS, now)
+        return Membership(
+            self.store, Tenure(KEYS, name, 2, Member(0, 1, f"{name}:1")), Proof(Term(600.0, 50.0)), place, SETTINGS, now
+        )
 
     @in_loop
     async def test_a_read_that_arrives_behind_the_watch_is_no_store_that_went_back(self) -> None:
--- a/tests/takeover/test_model.py
+++ b/tests/takeover/test_model.py
@@ -20,8 +20,24 @@
 NAMES = "abc"
 EXAMPLES = int(os.environ.get("MODEL_EXAMPLES", "80"))
 WEIGHTS = {
-    "live": 10, "live_long": 5, "work": 12, "pass_idle": 1, "turn": 3, "deliver": 2, "mark": 2, "act": 4, "still": 4,
-    "cut": 2, "corner": 3, "away": 3, "deaf": 1, "early": 1, "die": 3, "begin": 4, "lose": 1, "heal": 4,
+    "live": 10,
+    "live_long": 5,
+    "work": 12,
+    "pass_idle": 1,
+    "turn": 3,
+    "deliver": 2,
+    "mark": 2,
+    "act": 4,
+    "still": 4,
+    "cut": 2,
+    "corner": 3,
+    "away": 3,
+    "deaf": 1,
+    "early": 1,
+    "die": 3,
+    "begin": 4,
+    "lose": 1,
+    "heal": 4,
 }
 STEPS = [name for name, weight in WEIGHTS.items() for _ in range(weight)]
 
@@ -176,8 +192,7 @@
     copies = 2
 
 
-HARD = settings(max_examples=EXAMPLES, stateful_step_count=50, deadline=None,
-    suppress_health_check=list(HealthCheck))
+HARD = settings(max_examples=EXAMPLES, stateful_step_count=50, deadline=None, suppress_health_check=list(HealthCheck))
 Fleet.TestCase.settings = HARD
 TwoCopies.TestCase.settings = HARD
 TestFleet = Fleet.TestCase
--- a/tests/takeover/test_model_mutants.py
+++ b/tests/takeover/test_model_mutants.py
@@ -44,12 +44,14 @@
 
 MUTANTS: dict[str, Callable[[], Any]] = {
     "a lease is believed for twice its time": lambda: mock.patch.object(
-        Term, "believed", property(lambda self: 2 * self.ttl)),
+        Term, "believed", property(lambda self: 2 * self.ttl)
+    ),
     "one holder that heard is enough": lambda: mock.patch.object(Proof, "until", by_any),
     "holders do not keep still": lambda: mock.patch.object(Claims, "opens_at", at_once),
     "copies are not waited for": lambda: mock.patch.object(Copying, "is_safe", lambda self, number: True),
     "a claimed folder is taken up": lambda: mock.patch.object(
-        Tenure, "_of_folder", lambda self, roster, kept, conditions, ops: Taken()),
+        Tenure, "_of_folder", lambda self, roster, kept, conditions, ops: Taken()
+    ),
     "a passed tenure goes on": lambda: mock.patch.object(Tenure, "look", lambda self, roster: ""),
 }
 
--- a/tests/takeover/test_out.py
+++ b/tests/takeover/test_out.py
@@ -13,8 +13,11 @@
 from calicohitch.journal import Attempt, End, Entry, Journal, Origin
 from calicohitch.net.relay import Relay
 
-CLASSES = (MessageClass(Effect.KEYED, 2_500_000, 8_000_000, window=6_000_000),
-           MessageClass(Effect.SAFE, 1_000_000, 4_000_000), MessageClass(Effect.UNSAFE, 2_500_000, 8_000_000))
+CLASSES = (
+    MessageClass(Effect.KEYED, 2_500_000, 8_000_000, window=6_000_000),
+    MessageClass(Effect.SAFE, 1_000_000, 4_000_000),
+    MessageClass(Effect.UNSAFE, 2_500_000, 8_000_000),
+)
 
 
 def waits_until(cls: str, *attempts: Attempt, end: End | None = None) -> float:
@@ -30,11 +33,17 @@
         long = Attempt(1_000.0, 0, until=20_000.0)
         over = Attempt(1_000.0, 0, may_have_run=False, settled=True, until=3_000.0)
         for cls, attempts, until in (
-                ("safe", (out,), 3_000.0), ("safe", (long,), 9_000.0), ("safe", (over,), 0.0), ("safe", (), 0.0),
-                ("keyed", (out,), 3_000.0), ("keyed", (over,), 0.0), ("keyed", (over, out), 3_000.0),
-                # Its key is forgotten before the attempt is surely off the wire: it is given up then, not sent.
-                ("keyed", (long,), 7_000.0),
-                ("unsafe", (out,), 0.0)):
+            ("safe", (out,), 3_000.0),
+            ("safe", (long,), 9_000.0),
+            ("safe", (over,), 0.0),
+            ("safe", (), 0.0),
+            ("keyed", (out,), 3_000.0),
+            ("keyed", (over,), 0.0),
+            ("keyed", (over, out), 3_000.0),
+            # Its key is forgotten before the attempt is surely off the wire: it is given up then, not sent.
+            ("keyed", (long,), 7_000.0),
+            ("unsafe", (out,), 0.0),
+        ):
             with self.subTest(cls=cls, attempts=attempts):
                 self.assertEqual(waits_until(cls, *attempts), until)
         self.assertEqual(waits_until("safe", out, end=End(False)), 0.0)
@@ -44,8 +53,9 @@
         copied on, has to tell the next one until when that call may be out."""
         out = Attempt(1_000.0, 2, until=3_000.0)
         over = Attempt(900.0, 1, may_have_run=False, settled=True)
-        told = Entry(1, "m", "safe", 1, 9_000.0, "k", b"body", [over, out],
-            trace=b"trace", origin=Origin("owner", 3, 1))
+        told = Entry(
+            1, "m", "safe", 1, 9_000.0, "k", b"body", [over, out], trace=b"trace", origin=Origin("owner", 3, 1)
+        )
         ended = replace(told, id="n", end=End(True, 250.0))
         with tempfile.TemporaryDirectory() as folder, tempfile.TemporaryDirectory() as holder:
             first, held = Journal(Path(folder), 3e6), Journal(Path(holder), 3e6)
@@ -59,8 +69,10 @@
             for place in (folder, holder):
                 with self.subTest(copied=place == holder):
                     again = Journal(Path(place), 3e6)
-                    self.assertEqual([again.entries[n] for n in numbers],
-                        [replace(told, number=numbers[0]), replace(ended, number=numbers[1])])
+                    self.assertEqual(
+                        [again.entries[n] for n in numbers],
+                        [replace(told, number=numbers[0]), replace(ended, number=numbers[1])],
+                    )
                     self.assertEqual(waits_until("safe", *again.entries[numbers[0]].attempts), 3_000.0)
                     again.close()
 
--- a/tests/takeover/test_store.py
+++ b/tests/takeover/test_store.py
@@ -21,6 +21,7 @@
 
 def on_both(test: Callable[[Any, Store, Any], Awaitable[None]]) -> Callable[[Any], None]:
     """Run a test on each store; `trouble` is the stand-in or the memory."""
+
     def run(self: Any) -> None:
         async def on_etcd() -> None:
             etcd = Etcd()
@@ -83,8 +84,10 @@
         watch = store.watch("/f/", start)
         while len(found) < 2:
             found += await anext(watch)
-        self.assertEqual([(change.key, change.item.value if change.item else None) for change in found],
-            [("/f/a", b"1"), ("/f/a", None)])
+        self.assertEqual(
+            [(change.key, change.item.value if change.item else None) for change in found],
+            [("/f/a", b"1"), ("/f/a", None)],
+        )
         self.assertLess(found[0].revision, found[1].revision)
         await watch.aclose()  # type: ignore[attr-defined]
 
--- a/tests/test_answer.py
+++ b/tests/test_answer.py
@@ -14,10 +14,34 @@
 from calicohitch.net.head import Look
 
 USUAL = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nSrv-Load: x0=0.4\r\nX: y\r\n\r\nbody"
-PIECES = st.sampled_from([b"\r\n", b"\n", b":", b" ", b"\0", b"\x80", b"", b"0", b"9", b"HTTP/1.0", b"204", b"304",
-    b"100", b"429", b"Connection: close\r\n", b"Connection: keep-alive\r\n", b"Transfer-Encoding: chunked\r\n",
-    b"X:\r\n", b" f\r\n",
-    b"\r\n\r\n", b"Content-Length: 4\r\n", b"Content-Length: 5\r\n", b"Content-Length: 04\r\n", b"Upgrade: h2c\r\n"])
+PIECES = st.sampled_from(
+    [
+        b"\r\n",
+        b"\n",
+        b":",
+        b" ",
+        b"\0",
+        b"\x80",
+        b"",
+        b"0",
+        b"9",
+        b"HTTP/1.0",
+        b"204",
+        b"304",
+        b"100",
+        b"429",
+        b"Connection: close\r\n",
+        b"Connection: keep-alive\r\n",
+        b"Transfer-Encoding: chunked\r\n",
+        b"X:\r\n",
+        b" f\r\n",
+        b"\r\n\r\n",
+        b"Content-Length: 4\r\n",
+        b"Content-Length: 5\r\n",
+        b"Content-Length: 04\r\n",
+        b"Upgrade: h2c\r\n",
+    ]
+)
 
 
 def by_h11(data: bytes) -> tuple[Any, ...] | str:
@@ -41,8 +65,12 @@
             self.assertEqual(found, by_h11(data))
 
     def test_the_usual_ones_are_read(self) -> None:
-        for data in (USUAL, USUAL.replace(b"200 OK", b"429"), USUAL.replace(b"X: y", b"Connection: keep-alive"),
-                     b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n"):
+        for data in (
+            USUAL,
+            USUAL.replace(b"200 OK", b"429"),
+            USUAL.replace(b"X: y", b"Connection: keep-alive"),
+            b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n",
+        ):
             with self.subTest(data=data):
                 self.assertEqual(read(data, 1_000), by_h11(data))
                 self.assertIs(read(data[:-1], 1_000), Look.SHORT)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -69,8 +69,9 @@
         self.there = there(limit)
         # A few get several times the mean, and many hardly anything.
         self.weights = [self.random.expovariate(1.0) if uneven else 1.0 for _ in range(couriers)]
-        self.couriers = [Courier(seed=n, couriers=couriers, slots=4, open_cap=48, reports=REPORTS)
-                         for n in range(couriers)]
+        self.couriers = [
+            Courier(seed=n, couriers=couriers, slots=4, open_cap=48, reports=REPORTS) for n in range(couriers)
+        ]
         for courier in self.couriers:
             courier.list(i.Listed(11, 1))
         self.start = self.couriers[0].now
@@ -250,8 +251,17 @@
     def test_reports_that_cannot_be_true_are_not_believed(self) -> None:
         share = self.share(0.5)
         before = share.rate()
-        for report in ((0.5, 0.0), (0.5, -3.0), (0.5, float("inf")), (0.5, float("nan")), (float("nan"), 9.0),
-                       (1.5, 9.0), (-0.5, 9.0), (), (0.5,)):
+        for report in (
+            (0.5, 0.0),
+            (0.5, -3.0),
+            (0.5, float("inf")),
+            (0.5, float("nan")),
+            (float("nan"), 9.0),
+            (1.5, 9.0),
+            (-0.5, 9.0),
+            (),
+            (0.5,),
+        ):
             share.told(1_010 * SECOND, report, False)
         self.assertEqual(share.rate(), before)
         nowhere = Share(40, ("x1",))
--- a/tests/test_many_couriers.py
+++ b/tests/test_many_couriers.py
@@ -112,8 +112,12 @@
     while courier.now < end:
         courier.wait(20 * MS, *([courier.arrival()] if len(courier.sender._open) < 6 else []))
         left = end + wait - courier.now
-        courier.tell(*(courier.outcome(message, i.Outcome.FULL, left if left < 2 * SECOND else 0)
-                       for message, _ in list(courier.out)))
+        courier.tell(
+            *(
+                courier.outcome(message, i.Outcome.FULL, left if left < 2 * SECOND else 0)
+                for message, _ in list(courier.out)
+            )
+        )
     start = end + wait
     while not courier.out:
         courier.wait(20 * MS)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -23,8 +23,14 @@
 from calicohitch.config.settings import Names
 
 GOOD: dict[str, Any] = {
-    "name": "n0", "listen": "127.0.0.1:8080", "discovery": "127.0.0.1:8500", "state": "/run/state",
-    "seed": "8c1f30d27a5be964", "limits": {"sockets": 1024, "disk_mb": 3}, "settings": SETTINGS, "new": 1,
+    "name": "n0",
+    "listen": "127.0.0.1:8080",
+    "discovery": "127.0.0.1:8500",
+    "state": "/run/state",
+    "seed": "8c1f30d27a5be964",
+    "limits": {"sockets": 1024, "disk_mb": 3},
+    "settings": SETTINGS,
+    "new": 1,
 }
 
 
@@ -37,10 +43,14 @@
             ({"state": ""}, "NODE_STATE"),
             ({"settings": None}, "settings must be an object"),
             ({"settings": SETTINGS | {"family_info": {}}}, "settings.family_info.call_slots is missing"),
-            ({"settings": SETTINGS | {"services": [SETTINGS["services"][0] | {"effect": "maybe"}]}},
-             r"settings.services\[0\].effect must be one of safe, keyed, unsafe, not 'maybe'"),
-            ({"settings": SETTINGS | {"services": [SETTINGS["services"][0] | {"on_time": 25_000_000}]}},
-             r"settings.services\[0\].on_time must be a number from 1 to 2.4e\+07, not 25000000"),
+            (
+                {"settings": SETTINGS | {"services": [SETTINGS["services"][0] | {"effect": "maybe"}]}},
+                r"settings.services\[0\].effect must be one of safe, keyed, unsafe, not 'maybe'",
+            ),
+            (
+                {"settings": SETTINGS | {"services": [SETTINGS["services"][0] | {"on_time": 25_000_000}]}},
+                r"settings.services\[0\].on_time must be a number from 1 to 2.4e\+07, not 25000000",
+            ),
             ({"settings": SETTINGS | {"caps": {"open_cap": 0, "send_cap": 8}}}, "open_cap"),
             ({"limits": {"sockets": "many"}}, "limits.sockets"),
             ({"limits": {"disk_mb": 0}}, "limits.disk_mb"),
@@ -128,8 +138,13 @@
 class Headers(unittest.TestCase):
     def test_reports(self) -> None:
         cases: list[tuple[bytes, tuple[float, ...]]] = [
-            (b"x0=0.4,x1=25", (0.4, 25.0)), (b" x1=25 , x0=0.4", (0.4, 25.0)), (b"x0=0.4", ()),
-            (b"x0=nan,x1=1", ()), (b"x0=a,x1=1", ()), (b"", ()), (b"=,=", ()),
+            (b"x0=0.4,x1=25", (0.4, 25.0)),
+            (b" x1=25 , x0=0.4", (0.4, 25.0)),
+            (b"x0=0.4", ()),
+            (b"x0=nan,x1=1", ()),
+            (b"x0=a,x1=1", ()),
+            (b"", ()),
+            (b"=,=", ()),
         ]
         for text, report in cases:
             with self.subTest(text=text):
--- a/tests/test_partial_outages.py
+++ b/tests/test_partial_outages.py
@@ -53,8 +53,9 @@
                 courier.list(i.Listed(11, 1))
                 for _ in range(20):  # a message every second
                     courier.arrive(SAFE)
-                    told = courier.wait(SECOND, replace(
-                        courier.outcome(courier.next_id - 1), report=(1.0, limit), took=50 * MS))
+                    told = courier.wait(
+                        SECOND, replace(courier.outcome(courier.next_id - 1), report=(1.0, limit), took=50 * MS)
+                    )
                     self.assertEqual(sends(told), [])
                 route = courier.sender._dests[1].routes[-1]
                 route.sick, route.cold_at, route.cold_due = False, courier.now, courier.now  # just back
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -33,8 +33,10 @@
         self.arguments: list[str] = []
         self.say({"discovery": str(world.platform.address)})
         self.env = os.environ | {
-            "NODE_CONFIG": str(path), "NODE_STATE": str(world.folder / "state"),
-            "NODE_LISTEN": str(world.client), "NODE_DISCOVERY": str(world.platform.address),
+            "NODE_CONFIG": str(path),
+            "NODE_STATE": str(world.folder / "state"),
+            "NODE_LISTEN": str(world.client),
+            "NODE_DISCOVERY": str(world.platform.address),
         }
 
     def say(self, changes: dict[str, object]) -> None:
@@ -153,9 +155,11 @@
         play(test)
 
     def test_sighup_while_starting_does_not_end_the_process(self) -> None:
-        code = ("import os, signal, runpy, sys; sys.argv[1:] = ['version']\n"
-                "try: runpy.run_module('calicohitch', run_name='__main__')\n"
-                "except SystemExit: os.kill(os.getpid(), signal.SIGHUP); print('alive')")
+        code = (
+            "import os, signal, runpy, sys; sys.argv[1:] = ['version']\n"
+            "try: runpy.run_module('calicohitch', run_name='__main__')\n"
+            "except SystemExit: os.kill(os.getpid(), signal.SIGHUP); print('alive')"
+        )
         done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
         self.assertIn("alive", done.stdout)
 
@@ -168,10 +172,19 @@
             state = Path(name) / "state"
             prepare(state)
             path = Path(name) / "config.json"
-            path.write_text(json.dumps({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "state": str(state),
-                                        "settings": SETTINGS}))
-            done = subprocess.run([sys.executable, "-m", "calicohitch", "serve"], cwd=ROOT, capture_output=True,
-                text=True, timeout=60, env=os.environ | {"NODE_CONFIG": str(path), "PYTHONPATH": str(ROOT)})
+            path.write_text(
+                json.dumps(
+                    {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "state": str(state), "settings": SETTINGS}
+                )
+            )
+            done = subprocess.run(
+                [sys.executable, "-m", "calicohitch", "serve"],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+                timeout=60,
+                env=os.environ | {"NODE_CONFIG": str(path), "PYTHONPATH": str(ROOT)},
+            )
             return done.returncode, done.stderr
 
     def test_a_file_in_its_place(self) -> None:
--- a/tests/test_relay_rules.py
+++ b/tests/test_relay_rules.py
@@ -46,8 +46,10 @@
     async def test_given_up_messages_end_by_one_notice_with_a_time_to_come_back(self, world: World) -> None:
         world.members = []  # nobody to send to: the late drop ends it
         # An acknowledgement that is late under load is no silent agent's: that has a test of its own.
-        with mock.patch("calicohitch.net.notices._ANSWER_S", 5.0), mock.patch(
-                "calicohitch.net.notices._ANSWER_MAX_S", 5.0):
+        with (
+            mock.patch("calicohitch.net.notices._ANSWER_S", 5.0),
+            mock.patch("calicohitch.net.notices._ANSWER_MAX_S", 5.0),
+        ):
             async with world.relay():
                 await world.hand_in(Req_Deadline_Ms="1300")
                 await until(lambda: world.notices)
@@ -200,8 +202,7 @@
                 world.answers = list(answers)  # type: ignore[arg-type]
                 for _ in answers:
                     call = Call("a1", None, b"x", 5_000)
-                    result = await endpoints.call(
-                        1, world.endpoint.address, call, anyio.CancelScope(), lambda: True)
+                    result = await endpoints.call(1, world.endpoint.address, call, anyio.CancelScope(), lambda: True)
                 self.assertEqual((result.outcome, result.stale), (Outcome.RESET, stale))
 
     @in_world
@@ -362,7 +363,7 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(moved.run)
                 world.change(member(str(moved.address)))
-                await until(lambda: getattr(relay._directory.get(1), 'address', None) == moved.address)
+                await until(lambda: getattr(relay._directory.get(1), "address", None) == moved.address)
                 await world.hand_in("a2")
                 await until(lambda: moved.requests)
                 tasks.cancel_scope.cancel()
@@ -488,8 +489,7 @@
 
     @in_world
     async def test_who_sends_no_whole_request_is_soon_answered_or_closed(self, world: World) -> None:
-        head = (b"POST /orders HTTP/1.1\r\nHost: r\r\nReq-Id: b1\r\nReq-Deadline-Ms: 5000\r\n"
-                b"Envelope: dest=7\r\n")
+        head = b"POST /orders HTTP/1.1\r\nHost: r\r\nReq-Id: b1\r\nReq-Deadline-Ms: 5000\r\nEnvelope: dest=7\r\n"
         both = b"Idempotency-Key: k\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
         whole = head + b"Idempotency-Key: k\r\nContent-Length: 0\r\n\r\n"
         cases: list[tuple[bytes, bytes]] = [  # and the status, or nothing where the connection is closed
@@ -599,8 +599,10 @@
     async def test_a_client_that_left_is_not_taken_on(self, world: World) -> None:
         async with world.relay() as relay:
             link = await Link.connect(world.client)
-            await link.send(b"POST /orders HTTP/1.1\r\nHost: r\r\nReq-Id: a1\r\nReq-Deadline-Ms: 5000\r\n"
-                            b"Envelope: dest=7\r\nContent-Length: 0\r\n\r\n")
+            await link.send(
+                b"POST /orders HTTP/1.1\r\nHost: r\r\nReq-Id: a1\r\nReq-Deadline-Ms: 5000\r\n"
+                b"Envelope: dest=7\r\nContent-Length: 0\r\n\r\n"
+            )
             link.close()
             await anyio.sleep(0.05)
             self.assertEqual((len(relay._open), world.endpoint.requests), (0, []))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -71,14 +71,17 @@
 
 def test_what_a_courier_may_do_and_is_told_reaches_the_settings() -> None:
     caps = INFO["caps"] | {"may_probe": True, "peer_messages": True, "conn_idle": 9, "streams_per_conn": 8}
-    told = settings_from(INFO | {
-        "caps": caps,
-        "self_index": 7,
-        "client_habits": {"marks_retry": True},
-        "load_report": {"names": ["x0", "x1"], "via": "answers"},
-        "family_info": INFO["family_info"] | {"report_x0": "share left"},
-        "prices": {"probe": 0.1, "peer": 0.2, "late_fail": 0.3},
-    })
+    told = settings_from(
+        INFO
+        | {
+            "caps": caps,
+            "self_index": 7,
+            "client_habits": {"marks_retry": True},
+            "load_report": {"names": ["x0", "x1"], "via": "answers"},
+            "family_info": INFO["family_info"] | {"report_x0": "share left"},
+            "prices": {"probe": 0.1, "peer": 0.2, "late_fail": 0.3},
+        }
+    )
     assert (told.number, told.may_probe, told.may_tell, told.retries_marked) == (7, True, True, True)
     assert (told.idle_time, told.streams, told.reports_in_answers) == (9, 8, True)
     assert told.reports == (i.Report("x0", "share left"), i.Report("x1"))
@@ -95,13 +98,15 @@
     Recorder.made.clear()
     link = Link(Recorder)  # type: ignore[arg-type]
     head, text = opened()
-    link.answer(batch(
-        head,
-        rec("BIIHIBIBIBff", 20, 3, 100, 0, 5, 0, 900, 1, 0, 2, 0.5, 8.0),
-        rec("BIBIIBff", 23, 3, 0, 5, 700, 2, 0.25, 4.0),
-        rec("BIHII", 24, 3, 2, len(text), 4),
-        tail=text + b"hi 7",
-    ))
+    link.answer(
+        batch(
+            head,
+            rec("BIIHIBIBIBff", 20, 3, 100, 0, 5, 0, 900, 1, 0, 2, 0.5, 8.0),
+            rec("BIBIIBff", 23, 3, 0, 5, 700, 2, 0.25, 4.0),
+            rec("BIHII", 24, 3, 2, len(text), 4),
+            tail=text + b"hi 7",
+        )
+    )
     assert [event for _, event in Recorder.made[0].seen] == [
         i.Settled(100, 0, 5, i.Outcome.OK, 900, True, report=(0.5, 8.0)),
         i.Probed(5, i.Outcome.OK, 700, (0.25, 4.0)),
@@ -123,18 +128,20 @@
     head, text = opened()
     lists = entry(5, 57) + entry(6, 58)
     at = len(text)
-    link.answer(batch(
-        head,
-        rec("BHII", 26, 0, at, 1),
-        rec("BIBIH", 17, 3, 2, 41, 0),
-        rec("BHII", 26, 0, at + 22, 1),
-        rec("BIBIH", 17, 3, 0, 42, 0),
-        rec("BIIHIQIIfB", 18, 3, 100, 0, 7, 8, 240_000, 12_000, 57.0, 19),
-        rec("BIIHIBIBI", 20, 3, 100, 0, 5, 8, 900, 0, 340),
-        rec("BIQ", 22, 3, 0x4D),
-        rec("BII", 21, 3, 100),
-        tail=text + lists,
-    ))
+    link.answer(
+        batch(
+            head,
+            rec("BHII", 26, 0, at, 1),
+            rec("BIBIH", 17, 3, 2, 41, 0),
+            rec("BHII", 26, 0, at + 22, 1),
+            rec("BIBIH", 17, 3, 0, 42, 0),
+            rec("BIIHIQIIfB", 18, 3, 100, 0, 7, 8, 240_000, 12_000, 57.0, 19),
+            rec("BIIHIBIBI", 20, 3, 100, 0, 5, 8, 900, 0, 340),
+            rec("BIQ", 22, 3, 0x4D),
+            rec("BII", 21, 3, 100),
+            tail=text + lists,
+        )
+    )
     seen = [event for _, event in Recorder.made[0].seen]
     assert seen == [
         i.ListTold(i.ListKind.CACHED, 41, (i.Listed(5, 57, i.Phase.READY, 0, 1, 1.5, 42),)),
--- a/tests/tracing/test_context.py
+++ b/tests/tracing/test_context.py
@@ -111,8 +111,7 @@
     def test_reading_never_fails_and_what_goes_on_is_valid(self, headers: list[tuple[bytes, bytes]]) -> None:
         self.check(headers)
 
-    @given(st.text("0123456789abcdefg-", max_size=60),
-           st.lists(st.from_regex(r"[a-z@]{1,4}=[ -~]{1,9}"), max_size=5))
+    @given(st.text("0123456789abcdefg-", max_size=60), st.lists(st.from_regex(r"[a-z@]{1,4}=[ -~]{1,9}"), max_size=5))
     def test_near_misses(self, parent: str, states: list[str]) -> None:
         self.check([(b"traceparent", (GOOD[:30] + parent).encode()), (b"tracestate", ",".join(states).encode())])
 
--- a/tests/tracing/test_exporters.py
+++ b/tests/tracing/test_exporters.py
@@ -129,8 +129,17 @@
         self.assertEqual(retry.not_before, 0.0)
 
     def test_retry_after_in_every_form(self) -> None:
-        cases = [(b"", None), (b"2", 2_000.0), (b"0.5", 500.0), (b"-4", 0.0), (b"1e99", 300_000.0), (b"nan", None),
-                 (b"soon", None), (b"Thu, 01 Jan 1970 00:01:00 GMT", 50_000.0), (b"\xff\xfe", None)]
+        cases = [
+            (b"", None),
+            (b"2", 2_000.0),
+            (b"0.5", 500.0),
+            (b"-4", 0.0),
+            (b"1e99", 300_000.0),
+            (b"nan", None),
+            (b"soon", None),
+            (b"Thu, 01 Jan 1970 00:01:00 GMT", 50_000.0),
+            (b"\xff\xfe", None),
+        ]
         for text, wait in cases:
             with self.subTest(text=text):
                 self.assertEqual(read_retry_after(text, 10_000.0), wait)
--- a/tests/tracing/test_hops.py
+++ b/tests/tracing/test_hops.py
@@ -95,10 +95,17 @@
             async with world.relay(to(collector)) as relay:
                 for n, headers in enumerate(hostile):
                     connection = await ClientConnection.open(world.client)
-                    told = [("Host", "relay"), ("Req-Id", f"h{n}"), ("Req-Deadline-Ms", "5000"),
-                            ("Envelope", "dest=7"), ("Idempotency-Key", f"k{n}"), *headers]
+                    told = [
+                        ("Host", "relay"),
+                        ("Req-Id", f"h{n}"),
+                        ("Req-Deadline-Ms", "5000"),
+                        ("Envelope", "dest=7"),
+                        ("Idempotency-Key", f"k{n}"),
+                        *headers,
+                    ]
                     response = await connection.request(
-                        "POST", "/orders", [(k.encode(), v.encode()) for k, v in told], b"x")
+                        "POST", "/orders", [(k.encode(), v.encode()) for k, v in told], b"x"
+                    )
                     connection.close()
                     self.assertEqual(response.status, 202, headers)
                 await until(lambda: len(world.endpoint.requests) == len(hostile) and relay.idle)
@@ -185,10 +192,13 @@
             world.endpoint.handle = deliver  # type: ignore[assignment]
             address = str(world.endpoint.address)
             world.members = [member(address), member(address, "s-2", 8)]
-            settings = SETTINGS | {"caps": SETTINGS["caps"] | {"open_cap": 5_000, "send_cap": 1},
-                                   "family_info": {"call_slots": 64}}
-            async with world.relay(to(collector, ordinary=0.0, spans=100), settings=settings,
-                                   limits={"disk_mb": 60}) as relay:
+            settings = SETTINGS | {
+                "caps": SETTINGS["caps"] | {"open_cap": 5_000, "send_cap": 1},
+                "family_info": {"call_slots": 64},
+            }
+            async with world.relay(
+                to(collector, ordinary=0.0, spans=100), settings=settings, limits={"disk_mb": 60}
+            ) as relay:
                 for n in range(2_000):
                     told = Submission(f"f{n}", 1, 7, 4_000.0, None, b"x")
                     number = relay.take(told)
@@ -269,8 +279,10 @@
     def test_what_a_kill_costs_is_known_at_the_next_start(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "ledger"
-            code = ("import os, sys; from pathlib import Path; from calicohitch.tracing.ledger import Ledger\n"
-                    "Ledger(Path(sys.argv[1])).owe(17); os.kill(os.getpid(), 9)")
+            code = (
+                "import os, sys; from pathlib import Path; from calicohitch.tracing.ledger import Ledger\n"
+                "Ledger(Path(sys.argv[1])).owe(17); os.kill(os.getpid(), 9)"
+            )
             subprocess.run([sys.executable, "-c", code, str(path)], cwd=ROOT)
             again = Ledger(path)
             self.assertEqual((again.lost, path.stat().st_size), (17, 512))
@@ -286,17 +298,24 @@
             Ledger(Path("/dev/full"))
 
     def test_off_imports_nothing_of_it(self) -> None:
-        code = ("import sys, calicohitch.commands.serve\n"
-                "print([m for m in sys.modules if 'tracing' in m or 'opentelemetry' in m or 'grpc' in m or m in "
-                "('ckdl', 'zstandard', 'google.protobuf', 'h2', 'calicohitch.wire')])")
+        code = (
+            "import sys, calicohitch.commands.serve\n"
+            "print([m for m in sys.modules if 'tracing' in m or 'opentelemetry' in m or 'grpc' in m or m in "
+            "('ckdl', 'zstandard', 'google.protobuf', 'h2', 'calicohitch.wire')])"
+        )
         done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
         self.assertEqual(done.stdout.strip(), "[]", done.stderr)
 
 
 class Command(unittest.TestCase):
     def ask(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        return subprocess.run([sys.executable, "-m", "calicohitch", "traces", *arguments], cwd=ROOT,
-            capture_output=True, text=True, timeout=60)
+        return subprocess.run(
+            [sys.executable, "-m", "calicohitch", "traces", *arguments],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=60,
+        )
 
     def test_show_slow_and_why(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -311,8 +330,13 @@
             self.assertIn("1 traces that stand for 2 messages", why.stdout)
             told = json.loads(self.ask("slow", str(path), "--json").stdout)
             self.assertEqual(told[0]["id"], "a1")
-            cases = [(("show", "nobody", str(path)), 1), (("why", str(path), "--class", "none"), 1),
-                     (("slow", "/nowhere"), 2), (("slow", "-n", "0", str(path)), 2), (("slow", "/bin/true"), 2)]
+            cases = [
+                (("show", "nobody", str(path)), 1),
+                (("why", str(path), "--class", "none"), 1),
+                (("slow", "/nowhere"), 2),
+                (("slow", "-n", "0", str(path)), 2),
+                (("slow", "/bin/true"), 2),
+            ]
             for arguments, status in cases:
                 with self.subTest(arguments=arguments):
                     self.assertEqual(self.ask(*arguments).returncode, status)
--- a/tests/tracing/test_sampling.py
+++ b/tests/tracing/test_sampling.py
@@ -109,8 +109,12 @@
         self.assertEqual((made.take(5_000.0), made.due_at, made.waiting), ([], None, 0))
 
     @settings(max_examples=60)
-    @given(st.lists(st.tuples(st.sampled_from(list(Cause)), st.integers(0, 30)), max_size=300),
-           st.integers(10, 60), st.integers(1, 8), st.integers(0, 9))
+    @given(
+        st.lists(st.tuples(st.sampled_from(list(Cause)), st.integers(0, 30)), max_size=300),
+        st.integers(10, 60),
+        st.integers(1, 8),
+        st.integers(0, 9),
+    )
     def test_bounds_hold_and_counts_add_up(
         self, told: list[tuple[Cause, int]], spans: int, strata: int, seed: int
     ) -> None:
--- a/tests/tracing/test_spans.py
+++ b/tests/tracing/test_spans.py
@@ -30,8 +30,9 @@
     facts.hold(1_002.0)
     facts.release(1_500.0)
     first = AttemptFacts(1_500.0, cut=True, earlier_life=True)
-    second = AttemptFacts(2_100.0, "s-1", Address("127.0.0.1", 80), 1, 2_101.0, False, 2_102.0, 2_190.0, 200,
-                          2_200.0, Outcome.OK)
+    second = AttemptFacts(
+        2_100.0, "s-1", Address("127.0.0.1", 80), 1, 2_101.0, False, 2_102.0, 2_190.0, 200, 2_200.0, Outcome.OK
+    )
     facts.attempts += [first, second]
     facts.recovered_at, facts.end, facts.decided_at, facts.ended_at = 2_050.0, End.DELIVERED, 2_200.0, 2_201.0
     timeline = Timeline()
@@ -54,9 +55,17 @@
         self.assertEqual((root.parent_id, root.state), (b"parentid", "vendor=x"))
         self.assertIs(root.attributes["calicohitch.late"], True)
         told = [(s.name, s.start_ns // 1_000_000, s.end_ns // 1_000_000) for s in children]
-        self.assertEqual(told, [
-            ("journal", 1_000, 1_002), ("wait told by 7", 1_002, 1_400), ("held: slot", 1_400, 1_500),
-            ("attempt 1", 1_500, 2_050), ("recovery", 1_500, 2_050), ("attempt 2", 2_100, 2_200)])
+        self.assertEqual(
+            told,
+            [
+                ("journal", 1_000, 1_002),
+                ("wait told by 7", 1_002, 1_400),
+                ("held: slot", 1_400, 1_500),
+                ("attempt 1", 1_500, 2_050),
+                ("recovery", 1_500, 2_050),
+                ("attempt 2", 2_100, 2_200),
+            ],
+        )
         cut, last = [s for s in children if s.kind == CLIENT]
         self.assertEqual((cut.span_id, cut.status), (attempt_span_id(CONTEXT.span_id, 0), ERROR))
         self.assertIs(cut.attributes["calicohitch.cut"], True)
@@ -84,8 +93,10 @@
         with tempfile.TemporaryDirectory() as folder:
             read = []
             told: tuple[dict[str, Value], dict[str, Value]] = ({"service.instance.id": "n0"}, {"x": 1})
-            for name, data in (("a", otlp.json_line(spans, *told)),
-                               ("b", otlp.proto_request([otlp.proto_spans(spans)], *told))):
+            for name, data in (
+                ("a", otlp.json_line(spans, *told)),
+                ("b", otlp.proto_request([otlp.proto_spans(spans)], *told)),
+            ):
                 (Path(folder) / name).write_bytes(data)
                 read.append(read_files([Path(folder) / name]))
             self.assertEqual(read[0], read[1])
@@ -104,11 +115,22 @@
 
     times = st.floats(0, 10_000, allow_nan=False)
 
-    @given(times, st.lists(st.tuples(times, times), max_size=4), st.lists(st.tuples(times, times), max_size=4),
-           times, times, times)
+    @given(
+        times,
+        st.lists(st.tuples(times, times), max_size=4),
+        st.lists(st.tuples(times, times), max_size=4),
+        times,
+        times,
+        times,
+    )
     def test_whatever_the_clock_did_spans_are_ordered_and_inside_their_root(
-        self, taken: float, holds: list[tuple[float, float]], attempts: list[tuple[float, float]],
-        recovered: float, decided: float, ended: float,
+        self,
+        taken: float,
+        holds: list[tuple[float, float]],
+        attempts: list[tuple[float, float]],
+        recovered: float,
+        decided: float,
+        ended: float,
     ) -> None:
         facts = Facts("a1", "scores", 7, taken, CONTEXT)
         timeline = Timeline()
@@ -118,8 +140,11 @@
             timeline.note(until, Hold.PACE, 0.0)
             facts.release(until)
         for since, until in attempts:
-            facts.attempts.append(AttemptFacts(since, "", None, 0, since, True, until, until, 500, until,
-                Outcome.ERROR, earlier_life=since > until))
+            facts.attempts.append(
+                AttemptFacts(
+                    since, "", None, 0, since, True, until, until, 500, until, Outcome.ERROR, earlier_life=since > until
+                )
+            )
         facts.recovered_at, facts.decided_at, facts.ended_at, facts.end = recovered, decided, ended, End.FAILED
         root, *children = spans_of(facts, timeline, Cause.FAILED, 1.0)
         self.assertLessEqual(root.start_ns, root.end_ns)
@@ -148,9 +173,22 @@
         made = []
         for n, (trace, story) in enumerate([("aa", "ee"), ("aa", "ee"), ("bb", "ee"), ("cc", "")]):
             trace, story = trace * 16, story * 16
-            root = Seen(trace, f"{n:016x}", "", "relay", 2, 0, 10_000_000, {
-                "messaging.message.id": f"m{n}", "calicohitch.story": story, "calicohitch.adjusted_count": 3.0,
-                "calicohitch.class": "scores", "calicohitch.late": n == 0})
+            root = Seen(
+                trace,
+                f"{n:016x}",
+                "",
+                "relay",
+                2,
+                0,
+                10_000_000,
+                {
+                    "messaging.message.id": f"m{n}",
+                    "calicohitch.story": story,
+                    "calicohitch.adjusted_count": 3.0,
+                    "calicohitch.class": "scores",
+                    "calicohitch.late": n == 0,
+                },
+            )
             made.append(asking.Message(root))
         return made
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -25,22 +25,37 @@
 
 SETTINGS: dict[str, Any] = {
     "services": [
-        {"name": "orders", "effect": "keyed", "on_time": 2_500_000, "hard_limit": 24_000_000,
-         "window": 6_000_000},
+        {"name": "orders", "effect": "keyed", "on_time": 2_500_000, "hard_limit": 24_000_000, "window": 6_000_000},
         {"name": "scores", "effect": "safe", "on_time": 1_000_000, "hard_limit": 5_000_000},
     ],
-    "caps": {"open_cap": 16, "send_cap": 8, "conn_idle": 10_000_000, "connect_timeout": 1_500_000,
-             "peer_messages": True, "max_retry_after": 3_000_000, "retry_after": True},
+    "caps": {
+        "open_cap": 16,
+        "send_cap": 8,
+        "conn_idle": 10_000_000,
+        "connect_timeout": 1_500_000,
+        "peer_messages": True,
+        "max_retry_after": 3_000_000,
+        "retry_after": True,
+    },
     "family_info": {"call_slots": 4, "batch_by_kind": [1]},
     "load_report": {"names": ["x0", "x1"], "via": "answers"},
     "obligations": {"stop_sending_within": 250_000, "ramp_time": 10_000_000},
-    "zones": ["east", "west"], "flavors": ["pubs"],
+    "zones": ["east", "west"],
+    "flavors": ["pubs"],
 }
 
 
 def member(host_port: str, name: str = "s-1", cell: int = 7, phase: str = "Ready") -> dict[str, Any]:
-    return {"id": name, "host_port": host_port, "locality": "west", "flavor": "pubs", "cell": cell,
-            "phase": phase, "size": 2.0, "up_since_ms": 0}
+    return {
+        "id": name,
+        "host_port": host_port,
+        "locality": "west",
+        "flavor": "pubs",
+        "cell": cell,
+        "phase": phase,
+        "size": 2.0,
+        "up_since_ms": 0,
+    }
 
 
 class Party:
@@ -93,8 +108,16 @@
         self.admission: Any = None  # the operators' settings of clients' connections
 
     def config(self, **changes: Any) -> Config:
-        return parse({"name": "n0", "listen": "127.0.0.1:0", "discovery": str(self.platform.address),
-                      "state": str(self.folder), "settings": SETTINGS} | changes)
+        return parse(
+            {
+                "name": "n0",
+                "listen": "127.0.0.1:0",
+                "discovery": str(self.platform.address),
+                "state": str(self.folder),
+                "settings": SETTINGS,
+            }
+            | changes
+        )
 
     async def _deliver(self, _request: Request) -> Answer:
         return self.answers.pop(0) if self.answers else (200, {}, b"")
@@ -133,8 +156,9 @@
         if tracing:
             from calicohitch.tracing.tracer import Tracer
 
-            tracer = Tracer(tracing, self.clock, config.name, config.settings.classes, config.names.classes,
-                self.folder)
+            tracer = Tracer(
+                tracing, self.clock, config.name, config.settings.classes, config.names.classes, self.folder
+            )
         relay = Relay(config, self.clock, journal, tracer)
         with listen(HERE) as listener:
             self.client = Address(*listener.getsockname())
@@ -152,8 +176,13 @@
             tracer.close()
 
     async def hand_in(self, wire_id: str = "a1", path: str = "/orders", **headers: str) -> Response:
-        told = {"Host": "relay", "Req-Id": wire_id, "Req-Deadline-Ms": "5000", "Envelope": "dest=7",
-                "Idempotency-Key": "k1"} | {name.replace("_", "-"): value for name, value in headers.items()}
+        told = {
+            "Host": "relay",
+            "Req-Id": wire_id,
+            "Req-Deadline-Ms": "5000",
+            "Envelope": "dest=7",
+            "Idempotency-Key": "k1",
+        } | {name.replace("_", "-"): value for name, value in headers.items()}
         connection = await ClientConnection.open(self.client)
         try:
             sent = [(name.encode(), value.encode()) for name, value in told.items() if value]
