--- a/calicohitch/intake/clients.py
+++ b/calicohitch/intake/clients.py
@@ -181,8 +181,11 @@
                 logger.bind(event="clients.shed", seats=self.seats.count, ledger=ledger, **told).info(
                     "clients: {} were shed or refused: {}",
                     sum(told["causes"].values()),  # type: ignore[attr-defined]
-                    ", ".join(f"{count} {cause}" for cause, count in told["causes"].items()),
-                )  # type: ignore[attr-defined]
+                    ", ".join(
+                        f"{count} {cause}"
+                        for cause, count in told["causes"].items()  # type: ignore[attr-defined]
+                    ),
+                )
 
     def _guarded(self, seat: Seat, waited_ms: float = 0.0) -> None:
         try:
