--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,12 +8,19 @@
 
 PACKAGE = Path(__file__).parents[1] / "calicohitch"
 RULES = PACKAGE / "rules.py"
+MOST_STATEMENTS = 470
 
 
-def test_rules_fit_on_the_printed_page() -> None:
-    lines = RULES.read_text().splitlines()
-    assert sum(bool(line.strip()) for line in lines) <= 530
-    assert max(map(len, lines)) <= 110
+def _is_text(node: ast.AST) -> bool:
+    return isinstance(node, ast.Expr) and isinstance(node.value, ast.Constant) and isinstance(node.value.value, str)
+
+
+def test_rules_stay_within_their_statements() -> None:
+    """Statements, not lines: the formatter breaks lines, and neither it nor a docstring makes a decision larger."""
+    tree = ast.parse(RULES.read_text())
+    statements = [node for node in ast.walk(tree) if isinstance(node, ast.stmt) and not _is_text(node)]
+    assert len(statements) <= MOST_STATEMENTS
+    assert max(map(len, RULES.read_text().splitlines())) <= 110
 
 
 def test_rules_name_the_interface_at_the_top() -> None:
