--- a/benchmarks/endpoints.py
+++ b/benchmarks/endpoints.py
@@ -23,9 +23,9 @@
 
 from calicohitch.config import parse  # noqa: E402
 from calicohitch.net.discovery import Directory  # noqa: E402
-from calicohitch.recovery.beliefs import MOST_MEMBERS  # noqa: E402
-from calicohitch.recovery.memory import Memory  # noqa: E402
-from calicohitch.rules import Sender  # noqa: E402
+from calicohitch.recovery.cached_state import MOST_MEMBERS  # noqa: E402
+from calicohitch.recovery.state_cache import StateCache  # noqa: E402
+from calicohitch.decisions import DecisionEngine  # noqa: E402
 
 RUNS = 7
 A_DESTINATION = 10  # endpoints
@@ -68,12 +68,12 @@
             for n in range(endpoints)
         ]
         self.names, self.settings, self.revision = config.names, config.settings, 1
-        self.memory = Memory(folder, 1, config.names.classes)
+        self.memory = StateCache(folder, 1, config.names.classes)
         self.anew()
         self.whole()
 
     def anew(self) -> None:
-        self.directory, self.sender = Directory(self.names), Sender(self.settings, 1)
+        self.directory, self.sender = Directory(self.names), DecisionEngine(self.settings, 1)
 
     def told(self, complete: bool, members: list[dict[str, Any]]) -> None:
         self.revision += 1
--- a/calicohitch/__init__.py
+++ b/calicohitch/__init__.py
@@ -1,7 +1,7 @@
 """calicohitch: the decisions of an outbound relay."""
 
 from .interface import Settings
-from .rules import Sender
+from .decisions import DecisionEngine
 
 __version__ = "0.1.0"
-__all__ = ["Sender", "Settings"]
+__all__ = ["DecisionEngine", "Settings"]
--- a/calicohitch/benchlink.py
+++ b/calicohitch/benchlink.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: frames in, frames out, one Sender for each instance.
+"""The simulator's wire: frames in, frames out, one DecisionEngine for each instance.
 
 It translates and decides nothing. A frame that cannot be read ends the process with one line on standard
 error and a non-zero exit; an exception in the decisions is reported as `broken` with its text.
@@ -13,7 +13,7 @@
 from typing import BinaryIO
 
 from . import interface as i
-from .rules import Sender
+from .decisions import DecisionEngine
 from .config.settings import settings_from
 
 _EVENT, _ACTION, _ENTRY = 48, 24, 22
@@ -97,9 +97,9 @@
 class Link:
     """All instances of one adapter process: they share the numbered catalogs and nothing else."""
 
-    def __init__(self, make: Callable[[i.Settings, int], Sender] = Sender) -> None:
+    def __init__(self, make: Callable[[i.Settings, int], DecisionEngine] = DecisionEngine) -> None:
         self._make = make
-        self._senders: dict[int, Sender] = {}
+        self._engines: dict[int, DecisionEngine] = {}
         self._catalogs: dict[int, tuple[i.Listed, ...]] = {}
 
     def answer(self, frame: bytes) -> bytes:
@@ -137,10 +137,10 @@
                 settings = settings_from(json.loads(_tail(tail, offset, length)))
             except (ValueError, KeyError, TypeError, AttributeError) as err:
                 raise WireError(f"settings cannot be read: {err!r}") from err
-            self._senders[courier] = self._make(settings, seed)
+            self._engines[courier] = self._make(settings, seed)
             waiting[courier] = []
         elif code == _KILLED:
-            self._senders.pop(courier, None)
+            self._engines.pop(courier, None)
             waiting.pop(courier, None)
         elif code == _LIST:
             scope, version, bank = struct.unpack_from(">BIH", rec, 5)
@@ -153,7 +153,7 @@
             raise WireError(f"event code {code} is not known")
 
     def _flush(self, courier: int, now: int, waiting: dict[int, list[i.Event]], reply: _Reply) -> None:
-        sender = self._senders.get(courier)
+        sender = self._engines.get(courier)
         if sender is None:
             raise WireError(f"an event names courier {courier}, which is not open")
         try:
--- a/calicohitch/commands/fleet.py
+++ b/calicohitch/commands/fleet.py
@@ -173,7 +173,7 @@
 @click.argument("folders", nargs=-1, required=True, type=click.Path(path_type=Path, file_okay=False, exists=True))
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def who(wire_id: str, folders: tuple[Path, ...], as_json: bool) -> None:
-    from ..takeover.looking import traces
+    from ..failover.looking import traces
 
     found = []
     for folder in folders:
--- a/calicohitch/core/memory.py
+++ b/calicohitch/core/call_history.py
@@ -12,7 +12,7 @@
 from ..journal import Entry
 
 
-class CallMemory:
+class CallHistory:
     def __init__(self, most: int) -> None:
         self._most = most
         self._known: dict[str, tuple[float, Entry]] = {}
--- a/calicohitch/core/news.py
+++ b/calicohitch/core/change_notifier.py
@@ -5,7 +5,7 @@
 import anyio
 
 
-class News:
+class ChangeNotifier:
     """Wakes all who wait; each looks for itself what is new. Costs next to nothing while nobody waits."""
 
     __slots__ = ("_waited_for",)
--- a/calicohitch/core/leases.py
+++ b/calicohitch/core/descriptor_budget.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 
-class Holder(Enum):
+class DescriptorUse(Enum):
     """Who holds descriptors, in the order in which they may have one: what delivers goes before what comes in."""
 
     RELAY = "relay"  # listeners, the journal, the claim on it, the poll, what the interpreter holds
@@ -21,53 +21,53 @@
 _FIXED = 21  # the listener, notes, the journal, the claim on it, the poll, and what the interpreter holds
 
 
-def shared_out(sockets: int, grpc: int = 0) -> Leases:
+def shared_out(sockets: int, grpc: int = 0) -> DescriptorBudget:
     """The budget of a relay that may hold so many descriptors, of which gRPC has a part where it is on: half are for
     clients, one each for notices, discovery and tracing, and calls have the rest."""
     clients, others = sockets // 2, _FIXED + 3 + grpc
     calls = max(1, sockets - clients - others)
     kept = {
-        Holder.RELAY: _FIXED,
-        Holder.NOTICES: 1,
-        Holder.DISCOVERY: 1,
-        Holder.TRACING: 1,
-        Holder.GRPC: grpc,
-        Holder.CALLS: calls,
-        Holder.CLIENTS: clients,
+        DescriptorUse.RELAY: _FIXED,
+        DescriptorUse.NOTICES: 1,
+        DescriptorUse.DISCOVERY: 1,
+        DescriptorUse.TRACING: 1,
+        DescriptorUse.GRPC: grpc,
+        DescriptorUse.CALLS: calls,
+        DescriptorUse.CLIENTS: clients,
     }
-    leases = Leases(sum(kept.values()), kept)
-    leases.held.update({Holder.RELAY: _FIXED, Holder.GRPC: grpc})  # for good
+    leases = DescriptorBudget(sum(kept.values()), kept)
+    leases.held.update({DescriptorUse.RELAY: _FIXED, DescriptorUse.GRPC: grpc})  # for good
     return leases
 
 
-class Leases:
+class DescriptorBudget:
     """`total` descriptors. `kept` are set aside for a holder: nobody else can take them."""
 
-    def __init__(self, total: int, kept: dict[Holder, int]) -> None:
+    def __init__(self, total: int, kept: dict[DescriptorUse, int]) -> None:
         if sum(kept.values()) > total:
             raise ValueError(f"{sum(kept.values())} descriptors are set aside of {total}")
         self.total, self._kept = total, dict(kept)
-        self.held: Counter[Holder] = Counter()
-        self.refused: Counter[Holder] = Counter()
+        self.held: Counter[DescriptorUse] = Counter()
+        self.refused: Counter[DescriptorUse] = Counter()
 
-    def free_for(self, holder: Holder) -> int:
+    def free_for(self, holder: DescriptorUse) -> int:
         """How many more it may have: what is free, less what is set aside for others and not in use."""
         aside = sum(max(0, kept - self.held[other]) for other, kept in self._kept.items() if other is not holder)
         return max(0, self.total - self.held.total() - aside)
 
-    def take(self, holder: Holder) -> bool:
+    def take(self, holder: DescriptorUse) -> bool:
         if not self.free_for(holder):
             self.refused[holder] += 1
             return False
         self.held[holder] += 1
         return True
 
-    def give_back(self, holder: Holder) -> None:
+    def give_back(self, holder: DescriptorUse) -> None:
         if not self.held[holder]:
             raise ValueError(f"{holder.value} holds no descriptor to give back")
         self.held[holder] -= 1
 
     def told(self) -> str:
         """The ledger in one line."""
-        parts = ", ".join(f"{holder.value} {self.held[holder]}" for holder in Holder if self.held[holder])
+        parts = ", ".join(f"{holder.value} {self.held[holder]}" for holder in DescriptorUse if self.held[holder])
         return f"{self.held.total()} of {self.total} descriptors: {parts or 'none'}"
--- a/calicohitch/core/patience.py
+++ b/calicohitch/core/discovery_timeouts.py
@@ -21,7 +21,7 @@
 _AGAIN_S = 0.2  # the longest pause after an agent's silence
 
 
-class Patience:
+class DiscoveryTimeouts:
     """The waits of one relay. `backoff`: its pauses, where they are many who turn to one."""
 
     def __init__(self, asks_for_list: bool, backoff: Backoff) -> None:
--- a/calicohitch/core/share.py
+++ b/calicohitch/core/limit_share.py
@@ -21,7 +21,7 @@
 _BURST_S = 0.3  # seconds of its part that a courier may send at once, beside one call
 
 
-class Share:
+class LimitShare:
     """What a courier may send to one route, of `couriers` that send there."""
 
     notes = False  # whether couriers tell each other of its limits
--- a/calicohitch/core/limit_news.py
+++ b/calicohitch/core/limit_updates.py
@@ -16,7 +16,7 @@
 import struct
 from collections.abc import Sequence
 
-from .share import Share
+from .limit_share import LimitShare
 
 _VERSION = b"\x01"
 _ITEM = struct.Struct(">If")
@@ -28,7 +28,7 @@
 LOWERED, RAISED = 0.65, 1.6  # times the limit as known: a change that is worth a note, and no noise of reports
 
 
-class LimitNews:
+class LimitUpdates:
     """One courier's part in it."""
 
     def __init__(self, seed: int) -> None:
@@ -38,7 +38,7 @@
         self._quiet: dict[int, float] = {}  # destination -> until when it is not told of
         self.unread = 0  # notes that were none
 
-    def told(self, now: int, dest: int | None, share: Share, report: Sequence[float], full: bool) -> None:
+    def told(self, now: int, dest: int | None, share: LimitShare, report: Sequence[float], full: bool) -> None:
         """An answer told a share something; `dest`: where all endpoints have one limit, else None. A limit that differs
         from the one known by answers is news."""
         before = share.limit if share.heard else 0.0
--- a/calicohitch/core/seam.py
+++ b/calicohitch/core/protocols.py
@@ -44,7 +44,7 @@
         return 1_000.0 if self in (Refusal.FULL, Refusal.UNKNOWN, Refusal.BUSY, Refusal.UNCOPIED) else 100.0
 
 
-class How(Enum):
+class EndKind(Enum):
     """The one end of a message whose client waits for it."""
 
     DELIVERED = "delivered"
@@ -53,10 +53,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class MessageEnd:
     """`retry_in` in milliseconds, 0 for no advice; `answer` is the delivery's, for the intake of its protocol."""
 
-    how: How
+    how: EndKind
     retry_in: float = 0.0
     may_have_run: bool = False
     answer: Any = None
@@ -65,7 +65,7 @@
 class Reply(Protocol):
     """A client's call that is open until its message's end."""
 
-    def ended(self, end: Ended) -> None:
+    def ended(self, end: MessageEnd) -> None:
         """Told exactly once, unless the message was withdrawn before; must not wait."""
 
 
@@ -115,8 +115,8 @@
     answer: Any = None
 
 
-class Copies(Protocol):
-    """What a relay knows of copies of its work, where other relays hold them (`takeover/`). Messages go by their
+class Replicator(Protocol):
+    """What a relay knows of copies of its work, where other relays hold them (`failover/`). Messages go by their
     numbers; of those that are not copied all is safe, and all may be done."""
 
     def attach(self, relay: Adopter) -> None: ...
--- a/calicohitch/core/common_share.py
+++ b/calicohitch/core/shared_limit.py
@@ -18,7 +18,7 @@
 import math
 from collections.abc import Sequence
 
-from .share import Share
+from .limit_share import LimitShare
 
 _SECOND = 1_000_000
 _VERY_MANY = 100  # couriers: to 2 to 4 equal parts serve more (0.75 for 0.59 in the simulator), to 192 common shares
@@ -35,7 +35,7 @@
 _SMOOTH = 0.5  # weight of one report in the limit, otherwise
 
 
-class CommonShare(Share):
+class SharedLimit(LimitShare):
     """What a courier may send to one route, of `couriers` that send there."""
 
     notes = True
@@ -115,6 +115,6 @@
         return self._came * self._faded(self._at) + unseen * (self._recalled or self.part)
 
 
-def share_of(couriers: int, fields: Sequence[str]) -> Share:
+def share_of(couriers: int, fields: Sequence[str]) -> LimitShare:
     """The part of a limit that suits so many couriers."""
-    return (CommonShare if couriers >= _VERY_MANY else Share)(couriers, fields)
+    return (SharedLimit if couriers >= _VERY_MANY else LimitShare)(couriers, fields)
--- a/calicohitch/core/signals.py
+++ b/calicohitch/core/signals.py
@@ -17,7 +17,7 @@
 HEARD = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
 
 
-class Told:
+class SignalState:
     """`stop` is set by the first SIGTERM or SIGINT; more of them change nothing. SIGHUP calls `on_reload`, at any time
     until the end; one that came before it was set is made up for."""
 
@@ -46,10 +46,10 @@
 
 
 @asynccontextmanager
-async def heeded() -> AsyncIterator[Told]:
+async def heeded() -> AsyncIterator[SignalState]:
     """Hear signals for as long as this lasts. The mask of the calling thread is as before when it is over, and from
     before the handlers go: where the program blocked them, nothing ends it on the way out."""
-    told = Told()
+    told = SignalState()
     before = signal.pthread_sigmask(signal.SIG_BLOCK, ())
     with anyio.open_signal_receiver(*HEARD) as signals:
 
--- a/calicohitch/state.py
+++ b/calicohitch/decision_state.py
@@ -1,6 +1,6 @@
-"""What a Sender remembers of messages, calls, endpoints, routes and destinations.
+"""What a DecisionEngine remembers of messages, calls, endpoints, routes and destinations.
 
-Records and sums only; what follows from them is decided in `rules.py`. Times are microseconds.
+Records and sums only; what follows from them is decided in `decisions.py`. Times are microseconds.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from .core.share import Share
-from .interface import Arrived, Hold, Listed, MessageClass, Outcome, RouteWas, Tenant
+from .core.limit_share import LimitShare
+from .interface import Arrived, Hold, Listed, MessageClass, Outcome, RestoredRoute, Tenant
 
 MEAN_GAIN = 0.15  # share: weight of a new latency in the mean; about the last dozen calls count
 SECOND = 1_000_000  # microseconds
@@ -110,7 +110,7 @@
 class Route:
     """What shares one limit, wait and fate: a destination, or one endpoint where routes are apart."""
 
-    def __init__(self, now: int, share: Share) -> None:
+    def __init__(self, now: int, share: LimitShare) -> None:
         self.born = now
         self.share = share  # of the limit that the route tells
         self.mean: float | None = None  # latency of served calls
@@ -155,7 +155,7 @@
         lately = sum(at > now - PACE_SPAN for at in self.accepted)
         return lately * SECOND / max(min(PACE_SPAN, now - self.born), SECOND)
 
-    def recall(self, was: RouteWas) -> None:
+    def recall(self, was: RestoredRoute) -> None:
         """What an earlier life knew; the first answer replaces it."""
         if not was.wait_only:
             self.share.recall(*was.share)
@@ -232,10 +232,10 @@
             del self.routes[name]
 
 
-def known(dests: Mapping[int, Destination]) -> tuple[RouteWas, ...]:
+def known(dests: Mapping[int, Destination]) -> tuple[RestoredRoute, ...]:
     """What there is to recall of all routes."""
     return tuple(
-        RouteWas(
+        RestoredRoute(
             name,
             None if at == SHARED else at,
             route.share.state(),
@@ -248,7 +248,7 @@
     )
 
 
-def recall(dests: Mapping[int, Destination], routes: Sequence[RouteWas]) -> None:
+def recall(dests: Mapping[int, Destination], routes: Sequence[RestoredRoute]) -> None:
     """Tell routes that the list has named what an earlier life knew of them."""
     for was in routes:
         dest = dests.get(was.dest)
--- a/calicohitch/rules.py
+++ b/calicohitch/decisions.py
@@ -14,8 +14,8 @@
 from itertools import chain, islice
 from typing import Any
 
-from .core.common_share import share_of
-from .core.limit_news import LimitNews
+from .core.shared_limit import share_of
+from .core.limit_updates import LimitUpdates
 from .interface import (
     Action,
     Arrived,
@@ -32,7 +32,7 @@
     Outcome,
     PeerSaid,
     Phase,
-    Recalled,
+    RestoredState,
     Refuse,
     Send,
     Settings,
@@ -42,7 +42,7 @@
     Watch,
     Withdrawn,
 )
-from .state import (
+from .decision_state import (
     SHARED,
     Allowances,
     Call,
@@ -101,7 +101,7 @@
     return message.cls.effect is Effect.SAFE or not message.may_have_run or keyed_yet
 
 
-class Sender:
+class DecisionEngine:
     """The decisions of one courier. Feed it every event; carry out its actions in order."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -123,7 +123,7 @@
         self._actions: list[Action] = []
         self._mean: float | None = None  # latency of served calls, over all destinations
         self._timer_at = self._slots_taken = 0
-        self.news = LimitNews(seed)
+        self.news = LimitUpdates(seed)
         self._ask_at, self._ask_pause = -1, ASK_AGAIN
         names = [report.name for report in settings.reports]
         self._new_route: Callable[[], Route] = lambda: Route(self._now, share_of(settings.couriers, names))
@@ -136,7 +136,7 @@
             Settled: self._settled,
             Withdrawn: self._withdrawn,
             ListTold: self._list,
-            Recalled: self._recalled,
+            RestoredState: self._recalled,
             PeerSaid: self._peer_said,
         }
         for event in events:
@@ -372,14 +372,14 @@
                 dest.routes[SHARED].share.noted(self._now, limit)
                 self._touched[name] = None
 
-    def _recalled(self, event: Recalled) -> None:
+    def _recalled(self, event: RestoredState) -> None:
         recall(self._dests, event.routes)
         for recent, (good, of) in zip(self._recent, event.on_time, strict=False):
             recent.extend(n * good // of < (n + 1) * good // of for n in range(of))
 
-    def known(self) -> Recalled:
+    def known(self) -> RestoredState:
         """What a later life of this courier had better know."""
-        return Recalled(known(self._dests), tuple((sum(recent), len(recent)) for recent in self._recent))
+        return RestoredState(known(self._dests), tuple((sum(recent), len(recent)) for recent in self._recent))
 
     def _withdrawn(self, event: Withdrawn) -> None:
         message = self._open.get(event.message)
--- a/calicohitch/takeover/claims.py
+++ b/calicohitch/failover/claims.py
@@ -11,11 +11,11 @@
 
 from collections.abc import Mapping
 
-from ..fleet.proof import Term
-from ..fleet.records import Claim, State, Work, write_record
+from ..fleet.lease_validity import LeaseTerm
+from ..fleet.records import FailoverClaim, State, Work, write_record
 from ..fleet.roster import Roster
 from ..fleet.store import Op, Put, Unless
-from ..fleet.tenure import Step
+from ..fleet.ownership import Step
 
 STEP_MS = 250.0  # between the living holders of a part: two round trips to the store
 
@@ -25,7 +25,7 @@
 class Claims:
     """One relay's. `heard` is told whenever anything comes from an owner on its link."""
 
-    def __init__(self, relay: str, term: Term, grace: float, began: float) -> None:
+    def __init__(self, relay: str, term: LeaseTerm, grace: float, began: float) -> None:
         """`began`: when this process began; what an earlier life heard is not known."""
         self._relay, self._term, self._grace, self._began = relay, term, grace, began
         self._heard: dict[tuple[str, int], float] = {}
@@ -104,7 +104,7 @@
         for part in parts:
             at = keys.claim(owner, epoch, part)
             conditions += roster.as_it_is(at)
-            ops.append(Put(at, write_record(Claim(self._relay, my_epoch)), lease))
+            ops.append(Put(at, write_record(FailoverClaim(self._relay, my_epoch)), lease))
         return Step(f"parts {parts} of {owner} in epoch {epoch} are claimed", conditions, ops)
 
     def adopted(self, roster: Roster, owner: str, epoch: int, parts: list[int], my_epoch: int) -> Step:
@@ -115,7 +115,7 @@
         for part in parts:
             at = roster.keys.claim(owner, epoch, part)
             conditions += roster.as_it_is(at)
-            ops.append(Put(at, write_record(Claim(self._relay, my_epoch, adopted=True))))
+            ops.append(Put(at, write_record(FailoverClaim(self._relay, my_epoch, adopted=True))))
         return Step(f"parts {parts} of {owner} in epoch {epoch} are adopted", conditions, ops)
 
 
--- a/calicohitch/takeover/copying.py
+++ b/calicohitch/failover/copying.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
 
-from ..fleet.records import Holder
+from ..fleet.records import ReplicaHolder
 from . import frames
 
 
@@ -45,10 +45,10 @@
         return part in self.parts and self.acked >= self.parts[part]
 
 
-Parts = tuple[tuple[Holder, ...], ...]
+Parts = tuple[tuple[ReplicaHolder, ...], ...]
 
 
-class Copying:
+class Replication:
     """All copies of one relay's work."""
 
     def __init__(self, parts: int, copies: int) -> None:
@@ -130,7 +130,7 @@
                 return False
         return True
 
-    def required(self, part: int) -> tuple[Holder, ...]:
+    def required(self, part: int) -> tuple[ReplicaHolder, ...]:
         return tuple(dict.fromkeys(self.published[part] + self.pending[part]))
 
     def enough(self, part: int) -> bool:
@@ -194,14 +194,14 @@
     def arrange(self, wanted: Sequence[Sequence[str]], late: Callable[[str], bool], now: float) -> Parts:
         """Bring links to hold what they should, and say which holders are to be published now. `late`: a holder that
         has not acknowledged for too long, or has no link for as long; it is left out once it is."""
-        target: list[tuple[Holder, ...]] = []
+        target: list[tuple[ReplicaHolder, ...]] = []
         for part, relays in enumerate(wanted):
             for relay in relays:
                 link = self.links.get(relay)
                 if link and part not in link.parts and part not in link.refused:
                     self.give(link, part, now)
             ready = [
-                Holder(relay, self.links[relay].holding)
+                ReplicaHolder(relay, self.links[relay].holding)
                 for relay in relays
                 if relay in self.links and self.links[relay].ready(part) and not late(relay)
             ]
--- a/calicohitch/takeover/holdings.py
+++ b/calicohitch/failover/holdings.py
@@ -33,7 +33,7 @@
     """The copy cannot be held: the bound is met, or the disk does not take it."""
 
 
-class Holding:
+class ReplicaSet:
     """The copies of one owner's work in one epoch. `name` tells this set from another of the same that was lost."""
 
     def __init__(
@@ -156,12 +156,12 @@
         return {route: until + high for route, until in self.waits.items() if now < until + high < float("inf")}
 
 
-class Holdings:
+class ReplicaStore:
     """All sets."""
 
     def __init__(self, folder: Path, budget: int, now: Callable[[], float]) -> None:
         self._folder, self._budget, self._now = folder, budget, now
-        self._sets: dict[tuple[str, int], Holding] = {}
+        self._sets: dict[tuple[str, int], ReplicaSet] = {}
         self.refused = 0  # sets or records that there was no room for
         folder.mkdir(parents=True, exist_ok=True)
         for path in sorted(folder.iterdir()):
@@ -189,10 +189,10 @@
                 self._sets[held.owner, held.epoch] = held
                 return
 
-    def _read(self, path: Path) -> Holding:
+    def _read(self, path: Path) -> ReplicaSet:
         told = json.loads((path / _NAME).read_text(encoding="utf-8"))
         owner, epoch = unquote(path.name.rpartition(".")[0]), int(path.name.rpartition(".")[2])
-        return Holding(
+        return ReplicaSet(
             path,
             owner,
             epoch,
@@ -207,7 +207,7 @@
         logger.bind(event="takeover.unread").warning("copies in {} cannot be read and are removed: {}", path, err)
         shutil.rmtree(path, ignore_errors=True)
 
-    def __iter__(self) -> Iterator[Holding]:
+    def __iter__(self) -> Iterator[ReplicaSet]:
         return iter(list(self._sets.values()))
 
     def __len__(self) -> int:
@@ -216,13 +216,13 @@
     def names(self) -> dict[tuple[str, int], str]:
         return {at: held.name for at, held in self._sets.items()}
 
-    def get(self, owner: str, epoch: int) -> Holding | None:
+    def get(self, owner: str, epoch: int) -> ReplicaSet | None:
         return self._sets.get((owner, epoch))
 
     def used(self) -> int:
         return sum(held.journal.used() for held in self._sets.values())
 
-    def open(self, owner: str, epoch: int, parts: int) -> Holding:
+    def open(self, owner: str, epoch: int, parts: int) -> ReplicaSet:
         """The set of an owner's work, a new one where there is none. NoRoom where it cannot be made."""
         found = self._sets.get((owner, epoch))
         if found is not None and found.parts == parts:
@@ -237,21 +237,21 @@
         try:
             shutil.rmtree(path, ignore_errors=True)
             path.mkdir()
-            held = Holding(path, owner, epoch, parts, name, self._budget)
+            held = ReplicaSet(path, owner, epoch, parts, name, self._budget)
             held.note()
         except OSError as err:
             raise NoRoom(str(err)) from err
         self._sets[owner, epoch] = held
         return held
 
-    def record(self, held: Holding, part: int, payload: bytes) -> None:
+    def record(self, held: ReplicaSet, part: int, payload: bytes) -> None:
         """NoRoom past the bound of all sets."""
         if len(payload) + self.used() > self._budget:
             self.refused += 1
             raise NoRoom("all room for copies is taken")
         held.record(part, payload)
 
-    def remove(self, held: Holding) -> None:
+    def remove(self, held: ReplicaSet) -> None:
         """Nobody can claim it here any more."""
         held.journal.close()
         self._sets.pop((held.owner, held.epoch), None)
--- a/calicohitch/takeover/links.py
+++ b/calicohitch/failover/links.py
@@ -10,13 +10,13 @@
 from loguru import logger
 
 from ..config.platform import Address
-from ..core.news import News
+from ..core.change_notifier import ChangeNotifier
 from ..fleet.roster import Roster
 from ..fleet.settings import FleetSettings
 from . import frames
 from .claims import Claims
-from .copying import Copying, Link
-from .holdings import Holding, Holdings, NoRoom
+from .copying import Replication, Link
+from .holdings import ReplicaSet, ReplicaStore, NoRoom
 from .wire import Outbox, incoming
 
 _AGAIN_S = 0.15
@@ -33,18 +33,18 @@
 )
 
 
-class Outward:
+class OutboundReplication:
     """The owner's ends. `wanted` names the relays to be linked to; `late` tells which of them answer too late."""
 
     def __init__(
         self,
         me: str,
-        copying: Copying,
+        copying: Replication,
         roster: Roster,
         settings: FleetSettings,
         now: Callable[[], float],
         heard: Callable[[str, float], None],
-        news: News,
+        news: ChangeNotifier,
     ) -> None:
         """`heard`: told for each acknowledgement who gave it, and when what it had heard was sent."""
         self._me, self._copying, self._roster, self._set, self._now = me, copying, roster, settings, now
@@ -168,13 +168,13 @@
         self._news.tell()
 
 
-class Inward:
+class InboundReplication:
     """The holder's server."""
 
     def __init__(
         self,
         me: str,
-        holdings: Holdings,
+        holdings: ReplicaStore,
         claims: Claims,
         roster: Roster,
         settings: FleetSettings,
@@ -259,7 +259,7 @@
                 del self._links[hello.relay]
 
     def _apply(
-        self, held: Holding, told: list[frames.Frame], heard: float, seq: int
+        self, held: ReplicaSet, told: list[frames.Frame], heard: float, seq: int
     ) -> tuple[float, int, dict[int, str]]:
         """Write what came. A part that there is no room for is dropped whole, and its owner told."""
         refused: dict[int, str] = {}
--- a/calicohitch/takeover/looking.py
+++ b/calicohitch/failover/looking.py
@@ -11,7 +11,7 @@
 from urllib.parse import unquote
 
 from ..journal import Kinds, read_head, read_taken
-from ..recovery.salvage import Record, records
+from ..recovery.repair import Record, records
 
 
 @dataclass
--- a/calicohitch/takeover/manager.py
+++ b/calicohitch/failover/manager.py
@@ -1,7 +1,7 @@
 """The takeover as the relay knows it: its messages are copied, its acts wait for proof, and others' work comes to it.
 
-`Relay` calls what `core/seam.py` names `Copies`; this calls back `take_up`, `confirm` and `drop`. What is decided lies
-in `copying.py`, `claims.py`, `choice.py` and `fleet/`; here it is put together and run.
+`Relay` calls what `core/protocols.py` names `Replicator`; this calls back `take_up`, `confirm` and `drop`. What is
+decided lies in `copying.py`, `claims.py`, `choice.py` and `fleet/`; here it is put together and run.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 from anyio.abc import TaskGroup
 from loguru import logger
 
-from ..core.news import News
-from ..core.seam import Adopter, Refusal
+from ..core.change_notifier import ChangeNotifier
+from ..core.protocols import Adopter, Refusal
 from ..fleet.membership import Membership
-from ..fleet.proof import Proof, Term
-from ..fleet.records import Claim, Holder, Keys, Member, part_of
+from ..fleet.lease_validity import LeaseValidity, LeaseTerm
+from ..fleet.records import FailoverClaim, ReplicaHolder, Keys, Member, part_of
 from ..fleet.settings import CopyMode, FleetSettings
 from ..fleet.store import Store
-from ..fleet.tenure import Taken, Tenure
+from ..fleet.ownership import Taken, Ownership
 from ..journal import Entry, Origin, payloads
 from ..recovery.problems import FolderProblem, NameTaken, WorkTaken
 from .choice import chosen
 from .claims import Claims, is_over
-from .copying import Copying
-from .holdings import Holding, Holdings
-from .links import Inward, Outward
+from .copying import Replication
+from .holdings import ReplicaSet, ReplicaStore
+from .links import InboundReplication, OutboundReplication
 
 _LOOK_S = 0.05
 _FORGET_MS = 10_000.0  # after so long without its link, copies of a work that the store does not have are removed
@@ -37,7 +37,7 @@
 _CLOCK_ERROR_MS = 1_000.0
 
 
-class Takeover:
+class FailoverManager:
     """One relay's. `run` lasts as long as the relay; `begin` settles whose the folder's messages are."""
 
     def __init__(
@@ -57,16 +57,18 @@
         self._class_names = tuple(classes)
         keys = Keys(settings.name)
         member = Member(0, life, str(settings.advertise or settings.listen), settings.zone)
-        term = Term(settings.ttl_ms, settings.pause_ms)
-        self.proof = Proof(term)
-        self.tenure = Tenure(keys, name, settings.parts, member)
+        term = LeaseTerm(settings.ttl_ms, settings.pause_ms)
+        self.proof = LeaseValidity(term)
+        self.tenure = Ownership(keys, name, settings.parts, member)
         self.fleet = Membership(store, self.tenure, self.proof, folder, settings, now)
-        self.copying = Copying(settings.parts, settings.copies)
-        self.holdings = Holdings(folder / "copies", settings.hold_bytes, now)
+        self.copying = Replication(settings.parts, settings.copies)
+        self.holdings = ReplicaStore(folder / "copies", settings.hold_bytes, now)
         self.claims = Claims(name, term, settings.grace_ms, now())
-        self.news = News()
-        self._out = Outward(name, self.copying, self.fleet.roster, settings, now, self._heard, self.news)
-        self._in = Inward(name, self.holdings, self.claims, self.fleet.roster, settings, now, lambda: self.tenure.epoch)
+        self.news = ChangeNotifier()
+        self._out = OutboundReplication(name, self.copying, self.fleet.roster, settings, now, self._heard, self.news)
+        self._in = InboundReplication(
+            name, self.holdings, self.claims, self.fleet.roster, settings, now, lambda: self.tenure.epoch
+        )
         self._relay: Adopter | None = None
         self._waiting: list[tuple[int, Callable[[], None]]] = []  # what is to be done once a message is safe
         self._publishing = False
@@ -240,7 +242,7 @@
         if (origin := entry.origin) is None or origin.confirmed:
             return False
         claim = self.fleet.roster.claims.get((origin.relay, origin.epoch, origin.part))
-        return claim != Claim(relay, epoch, adopted=True)
+        return claim != FailoverClaim(relay, epoch, adopted=True)
 
     def _heard(self, relay: str, sent_at: float) -> None:
         self.proof.heard(relay, sent_at)
@@ -274,7 +276,7 @@
         link = self.copying.links.get(relay)
         return link is not None and part in link.refused
 
-    async def _publish(self, target: tuple[tuple[Holder, ...], ...]) -> None:
+    async def _publish(self, target: tuple[tuple[ReplicaHolder, ...], ...]) -> None:
         """Name these holders. Until the store's answer is known, acts rest on both the old and the new."""
         self._publishing = True
         try:
@@ -301,7 +303,7 @@
             self._publishing = False
             self.news.tell()
 
-    def _both(self, target: tuple[tuple[Holder, ...], ...]) -> tuple[tuple[Holder, ...], ...]:
+    def _both(self, target: tuple[tuple[ReplicaHolder, ...], ...]) -> tuple[tuple[ReplicaHolder, ...], ...]:
         return tuple(tuple(dict.fromkeys(old + new)) for old, new in zip(self.copying.published, target, strict=True))
 
     def _done_waiting(self) -> None:
@@ -339,7 +341,7 @@
     async def _forget_claims(self, seen: dict[tuple[str, int, int], float]) -> None:
         """Adopted claims, and works of which nothing else is left, go from the store once they can matter to nobody."""
         from ..fleet.store import Delete
-        from ..fleet.tenure import Step
+        from ..fleet.ownership import Step
 
         roster, now = self.fleet.roster, self._now()
         for at in [at for at in seen if at not in roster.claims]:
@@ -353,7 +355,7 @@
             await self.fleet.commit(Step(f"claim {at} is forgotten", roster.as_it_is(key, work), gone))
             return
 
-    async def _take_over(self, held: Holding, parts: list[int]) -> None:
+    async def _take_over(self, held: ReplicaSet, parts: list[int]) -> None:
         """Claim parts, make their messages this relay's, and only then act on them."""
         roster, relay = self.fleet.roster, self._relay
         assert relay is not None
@@ -364,7 +366,7 @@
         )
         read = await self.fleet.read()
         if done is None:
-            mine = Claim(self._name, self.tenure.epoch)
+            mine = FailoverClaim(self._name, self.tenure.epoch)
             done = read and all(roster.claims.get((owner, epoch, part)) == mine for part in parts)
         if not done:
             if read and not self.claims.is_claimer(roster, owner, epoch):
@@ -391,7 +393,7 @@
             await anyio.sleep(_LOOK_S)
             if await self.fleet.read():
                 told = [roster.claims.get((owner, epoch, part)) for part in parts]
-                if all(claim == Claim(self._name, self.tenure.epoch, True) for claim in told):
+                if all(claim == FailoverClaim(self._name, self.tenure.epoch, True) for claim in told):
                     adopted = True
                 elif any(claim is None or claim.relay != self._name for claim in told):
                     adopted = False
--- a/calicohitch/takeover/wire.py
+++ b/calicohitch/failover/wire.py
@@ -8,7 +8,7 @@
 import anyio
 from anyio.abc import ByteStream
 
-from ..core.news import News
+from ..core.change_notifier import ChangeNotifier
 from . import frames
 
 _READ = 64 << 10
@@ -22,7 +22,7 @@
         self._most = most
         self._waiting: deque[bytes] = deque()
         self.size = 0
-        self._news = News()
+        self._news = ChangeNotifier()
         self.closed = False
 
     def put(self, frame: frames.Frame) -> bool:
--- a/calicohitch/fleet/proof.py
+++ b/calicohitch/fleet/lease_validity.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Term:
+class LeaseTerm:
     """The lease's length, and the longest pause allowed for, in milliseconds."""
 
     ttl: float
@@ -38,10 +38,10 @@
         return self.ttl * (1 + DRIFT)
 
 
-class Proof:
+class LeaseValidity:
     """One relay's. `renewed` and `heard` tell of confirmations by when that which they confirm was sent."""
 
-    def __init__(self, term: Term) -> None:
+    def __init__(self, term: LeaseTerm) -> None:
         self._term = term
         self._renewed = -math.inf
         self._heard: dict[str, float] = {}  # holder -> when what it heard last was sent
--- a/calicohitch/fleet/membership.py
+++ b/calicohitch/fleet/membership.py
@@ -1,8 +1,8 @@
 """One relay in the fleet: registers, renews its lease, follows what the store tells, and says when its tenure is
 passed.
 
-All decisions are in `tenure.py`, `roster.py` and `proof.py`; here is what waits for the store. Each question to it has
-a time limit, and one whose answer is lost is settled by reading what stands there.
+All decisions are in `ownership.py`, `roster.py` and `lease_validity.py`; here is what waits for the store. Each
+question to it has a time limit, and one whose answer is lost is settled by reading what stands there.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 import anyio
 from loguru import logger
 
-from ..core.news import News
+from ..core.change_notifier import ChangeNotifier
 from ..recovery.problems import NameTaken
-from .proof import Proof
+from .lease_validity import LeaseValidity
 from .roster import Roster
 from .settings import FleetSettings
 from .store import Changed, Compacted, Seen, Store, StoreError
-from .tenure import Kept, Step, Taken, Tenure, kept_bytes, kept_of
+from .ownership import Kept, Step, Taken, Ownership, kept_bytes, kept_of
 
 T = TypeVar("T")
 _FILE = "fleet"
@@ -38,8 +38,8 @@
     def __init__(
         self,
         store: Store,
-        tenure: Tenure,
-        proof: Proof,
+        tenure: Ownership,
+        proof: LeaseValidity,
         folder: Path,
         settings: FleetSettings,
         now: Callable[[], float],
@@ -48,7 +48,7 @@
         self._path, self._set, self._now = folder / _FILE, settings, now
         self.lease = 0
         self.kept = self._read_kept()
-        self.news = News()
+        self.news = ChangeNotifier()
         self.on_passed: Callable[[str], None] = lambda _why: None
         self.registered = False
         self.went_back = 0  # times that the store was found empty or gone back
--- a/calicohitch/fleet/tenure.py
+++ b/calicohitch/fleet/ownership.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from .records import Claim, Holder, Keys, Member, State, Work, write_record
+from .records import FailoverClaim, ReplicaHolder, Keys, Member, State, Work, write_record
 from .roster import Roster
 from .store import Delete, Op, Put, Unless
 
@@ -42,14 +42,14 @@
     doubted: bool = False
 
 
-class Tenure:
+class Ownership:
     """One relay's. `epoch` is 0 before it is registered."""
 
     def __init__(self, keys: Keys, relay: str, parts: int, member: Member) -> None:
         self.keys, self.relay, self.parts = keys, relay, parts
         self.member = member
         self.epoch = 0
-        self.published: tuple[tuple[Holder, ...], ...] = ((),) * parts
+        self.published: tuple[tuple[ReplicaHolder, ...], ...] = ((),) * parts
         self.passed = ""
 
     def generate(self, roster: Roster, drawn: str) -> Step:
@@ -115,12 +115,12 @@
         for part in free:
             at = self.keys.claim(self.relay, kept.epoch, part)
             conditions += roster.as_it_is(at)
-            ops.append(Put(at, write_record(Claim(self.relay, self.epoch, adopted=True))))
+            ops.append(Put(at, write_record(FailoverClaim(self.relay, self.epoch, adopted=True))))
         return Taken(frozenset(free))
 
     # While it goes on.
 
-    def publish(self, roster: Roster, parts: Sequence[Sequence[Holder]]) -> Step:
+    def publish(self, roster: Roster, parts: Sequence[Sequence[ReplicaHolder]]) -> Step:
         """Name the holders of each part: from its commit on none but those may claim."""
         key = self.keys.work(self.relay, self.epoch)
         work = Work(State.OWNED, roster.generation, tuple(tuple(holders) for holders in parts))
@@ -128,7 +128,7 @@
             "holders are published", [*roster.as_it_is(key, self.keys.generation)], [Put(key, write_record(work))]
         )
 
-    def shown(self, roster: Roster) -> tuple[tuple[Holder, ...], ...] | None:
+    def shown(self, roster: Roster) -> tuple[tuple[ReplicaHolder, ...], ...] | None:
         """What the store has published; None where it has nothing of this epoch."""
         work = roster.works.get((self.relay, self.epoch))
         return work.parts if work else None
--- a/calicohitch/fleet/records.py
+++ b/calicohitch/fleet/records.py
@@ -6,7 +6,7 @@
 | `epoch/RELAY` | the highest epoch that it ever had | nothing |
 | `member/RELAY` | `Member`: it is alive, where it takes copies | its lease |
 | `work/RELAY/EPOCH` | `Work`: who holds copies of which part of its work | nothing |
-| `claim/RELAY/EPOCH/PART` | `Claim`: who takes the part over | the claimer's lease, until it is adopted |
+| `claim/RELAY/EPOCH/PART` | `FailoverClaim`: who takes the part over | the claimer's lease, until it is adopted |
 
 An epoch is one relay's tenure, from its registration until it is passed. A part is a fixed share of its messages, by
 their ids; it is what a successor claims.
@@ -41,7 +41,7 @@
     version: int = 1
 
 
-class Holder(msgspec.Struct, frozen=True, array_like=True):
+class ReplicaHolder(msgspec.Struct, frozen=True, array_like=True):
     """A relay that holds copies; `holding` names the set of copies, so that one that lost them is not taken for it."""
 
     relay: str
@@ -54,10 +54,10 @@
 
     state: State
     generation: str
-    parts: tuple[tuple[Holder, ...], ...]
+    parts: tuple[tuple[ReplicaHolder, ...], ...]
 
 
-class Claim(msgspec.Struct, frozen=True):
+class FailoverClaim(msgspec.Struct, frozen=True):
     """`adopted`: its messages are the claimer's, journaled and copied on; until then it has acted on none of them."""
 
     relay: str
@@ -84,7 +84,7 @@
         raise Bad(f"{kind.__name__}: {err}") from err
 
 
-def write_record(record: Member | Work | Claim) -> bytes:
+def write_record(record: Member | Work | FailoverClaim) -> bytes:
     return msgspec.json.encode(record)
 
 
--- a/calicohitch/fleet/roster.py
+++ b/calicohitch/fleet/roster.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from .records import Bad, Claim, Keys, Member, Work, read_record
+from .records import Bad, FailoverClaim, Keys, Member, Work, read_record
 from .store import Changed, Item, Seen, Unless
 
 
@@ -18,7 +18,7 @@
         self.epochs: dict[str, int] = {}
         self.members: dict[str, Member] = {}
         self.works: dict[tuple[str, int], Work] = {}
-        self.claims: dict[tuple[str, int, int], Claim] = {}
+        self.claims: dict[tuple[str, int, int], FailoverClaim] = {}
         self.since: dict[str, float] = {}  # when a key was seen to be there as it is, or a member's to be gone
         self.unread = 0  # records that cannot be read
         self.known = False  # it was read at least once
@@ -94,7 +94,7 @@
             if item is None:
                 self.claims.pop(where, None)
             else:
-                self.claims[where] = read_record(item.value, Claim)
+                self.claims[where] = read_record(item.value, FailoverClaim)
 
     def as_it_is(self, *keys: str) -> list[Unless]:
         """Conditions that these keys are as they are known here."""
--- a/calicohitch/grpc/delivery.py
+++ b/calicohitch/grpc/delivery.py
@@ -13,7 +13,7 @@
 from ..clock import Clock
 from ..config import Address
 from ..core.system_errors import RETRY_PAUSE_S, MachineError, Step, of_this_machine
-from ..core.seam import Call, Result
+from ..core.protocols import Call, Result
 from ..interface import Outcome
 from ..net.endpoints import read_report
 from ..net.http import Link
--- a/calicohitch/grpc/intake.py
+++ b/calicohitch/grpc/intake.py
@@ -11,7 +11,7 @@
 
 from ..clock import Clock
 from ..core.system_errors import Retry, Step, trouble
-from ..core.seam import Ended, How, Refusal, Submission
+from ..core.protocols import MessageEnd, EndKind, Refusal, Submission
 from ..interface import MessageClass
 from ..net.http import Link
 from ..net.relay import Relay
@@ -39,9 +39,9 @@
     """The reply of one call. Its end is news of its stream like any other, so that one task can wait for both."""
 
     stream: Http2Stream
-    end: Ended | None = None
+    end: MessageEnd | None = None
 
-    def ended(self, end: Ended) -> None:
+    def ended(self, end: MessageEnd) -> None:
         self.end = end
         self.stream.news.tell()
 
@@ -229,15 +229,15 @@
             return trailers_only(Status.ABORTED, "a call with this id is open")
         return trailers_only(Status.UNAVAILABLE, why.value, pushback(why.come_again_ms))
 
-    async def _end(self, stream: Http2Stream, pipe: Pipe, end: Ended) -> None:
+    async def _end(self, stream: Http2Stream, pipe: Pipe, end: MessageEnd) -> None:
         """The one answer. An endpoint's own end is passed on as it is."""
-        more: Headers = [(b"calicohitch-may-have-run", b"1")] if end.may_have_run and end.how is How.FAILED else []
+        more: Headers = [(b"calicohitch-may-have-run", b"1")] if end.may_have_run and end.how is EndKind.FAILED else []
         if isinstance(end.answer, Answer):
             if end.answer.initial and not pipe.begun:
                 await stream.send_headers([(b":status", b"200"), *end.answer.initial])
                 pipe.begun = True
             told = [*end.answer.trailers, *more]
-        elif end.how is How.REFUSED:
+        elif end.how is EndKind.REFUSED:
             told = trailers(Status.UNAVAILABLE, "not delivered; it is harmless to call again", pushback(end.retry_in))
         elif self._clock.now() >= pipe.deadline:
             told = trailers(Status.DEADLINE_EXCEEDED, "given up; an attempt may have run", more)
--- a/calicohitch/grpc/pipe.py
+++ b/calicohitch/grpc/pipe.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from ..wire.http2 import Http2Stream
-from ..core.news import News
+from ..core.change_notifier import ChangeNotifier
 from .codec import Deframer, Headers, Request, metadata
 
 
@@ -42,7 +42,7 @@
     _size: int = 0
     _taken: int = 0  # messages that the present attempt took of those kept
     _attempt: object | None = None
-    _news: News = field(default_factory=News)
+    _news: ChangeNotifier = field(default_factory=ChangeNotifier)
     on_cancel: Callable[[], None] | None = None  # ends the attempt that is out
 
     @property
--- a/calicohitch/intake/clients.py
+++ b/calicohitch/intake/clients.py
@@ -19,7 +19,7 @@
 from anyio.abc import TaskGroup
 from loguru import logger
 
-from ..core.seam import Refusal, Submission
+from ..core.protocols import Refusal, Submission
 from ..net.head import Look
 from ..core.system_errors import OUT_OF_DESCRIPTORS, RETRY_PAUSE_S, Retry, Step, trouble
 from ..core.tasks import restarted
@@ -36,8 +36,8 @@
     send_at_once,
 )
 from ..net.relay import Relay
-from ..core.leases import Holder
-from ..core.news import News
+from ..core.descriptor_budget import DescriptorUse
+from ..core.change_notifier import ChangeNotifier
 from .admission.account import Account
 from .admission.keeping import Keeping
 from .admission.load import Load
@@ -47,7 +47,7 @@
 from .head import Common, answer, read
 from .readiness import Readiness
 from .seats import Seat, Seats
-from .submission import ACCEPTED, BadRequest, Told, read_submission, refusal
+from .submission import ACCEPTED, BadRequest, SubmissionAnswer, read_submission, refusal
 
 _IDLE_S = 5.0  # a connection between requests
 _REQUEST_S = 2.0  # from the connect, or a later request's first byte, to the request's last
@@ -91,7 +91,7 @@
         self._listening = self._ending = False
         self._starved_since = math.inf  # when accept began to fail for want of something here
         self._tasks: TaskGroup | None = None
-        self._waiting = News()  # that a seat waits with a time of its own
+        self._waiting = ChangeNotifier()  # that a seat waits with a time of its own
         self._answering = 0
         self._keeping = Keeping()
 
@@ -278,7 +278,7 @@
         if verdict is not Verdict.ENTER:
             self._turn_off(sock, source, verdict.value)
             return
-        if not self._relay.leases.take(Holder.CLIENTS):
+        if not self._relay.leases.take(DescriptorUse.CLIENTS):
             self.shares.leave(source)
             self._turn_off(sock, source, "no descriptor was left")
             return
@@ -317,7 +317,7 @@
             seat.gone = True
             self.seats.count -= 1
             self.shares.leave(seat.source)
-            self._relay.leases.give_back(Holder.CLIENTS)
+            self._relay.leases.give_back(DescriptorUse.CLIENTS)
             if seat.handed_in and seat in self.seats.kept:
                 self._keeping.did_not()
             self.seats.leave_line(seat)
@@ -474,15 +474,15 @@
 
     def _decide(
         self, seat: Seat, request: Request, waited_ms: float = 0.0
-    ) -> tuple[Told, int | None, Submission | None]:
+    ) -> tuple[SubmissionAnswer, int | None, Submission | None]:
         """What a request that was read whole is answered; and the message that is accepted once it was."""
         if request.method == "GET" and request.path in ("/health/ready", "/health/live"):
             serving = self._relay.ready and not self._relay.stopping
-            return Told(200 if serving or request.path == "/health/live" else 503, []), None, None
+            return SubmissionAnswer(200 if serving or request.path == "/health/live" else 503, []), None, None
         try:
             told = read_submission(request, self._classes)
         except BadRequest as err:
-            return Told(err.status, [], str(err).encode(), close=True), None, None
+            return SubmissionAnswer(err.status, [], str(err).encode(), close=True), None, None
         # A client that ended its sending has left, and may hand the message in elsewhere by now; should it
         # listen still, a refusal is harmless.
         now = anyio.current_time() * 1e3
--- a/calicohitch/intake/readiness.py
+++ b/calicohitch/intake/readiness.py
@@ -9,7 +9,7 @@
 import asyncio
 import socket
 
-from ..core.news import News
+from ..core.change_notifier import ChangeNotifier
 
 
 class Readiness:
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
         self._came: dict[int, None] = {}
-        self._news = News()
+        self._news = ChangeNotifier()
 
     def register(self, sock: socket.socket) -> None:
         self._loop.add_reader(fd := sock.fileno(), self._tell, fd)
--- a/calicohitch/intake/submission.py
+++ b/calicohitch/intake/submission.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from urllib.parse import unquote
 
-from ..core.seam import Refusal, Submission
+from ..core.protocols import Refusal, Submission
 from ..net.http import Headers, Request
 
 _SINGLE = {b"req-id", b"idempotency-key", b"req-deadline-ms", b"envelope"}
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class SubmissionAnswer:
     """An answer to a client. `close`: the connection is closed behind it."""
 
     status: int
@@ -80,15 +80,15 @@
     close: bool = False
 
 
-ACCEPTED = Told(202, [])
+ACCEPTED = SubmissionAnswer(202, [])
 
 
-def refusal(why: Refusal, drawn: float = 0.0) -> Told:
+def refusal(why: Refusal, drawn: float = 0.0) -> SubmissionAnswer:
     """What a client is told whose message is not taken on, or is already. `drawn`: a number from 0 to 1, which spreads
     those that are refused together over half as long again, since they would come again together."""
     if why is Refusal.TAKEN:
         return ACCEPTED
     if why is Refusal.NO_KEY:
-        return Told(400, [], why.value.encode(), close=True)
+        return SubmissionAnswer(400, [], why.value.encode(), close=True)
     headers: Headers = [(b"Retry-After", f"{why.come_again_ms * (1 + drawn / 2) / 1e3:.3g}".encode())]
-    return Told(503, headers, why.value.encode(), close=why not in (Refusal.FULL, Refusal.BUSY))
+    return SubmissionAnswer(503, headers, why.value.encode(), close=why not in (Refusal.FULL, Refusal.BUSY))
--- a/calicohitch/interface.py
+++ b/calicohitch/interface.py
@@ -1,7 +1,7 @@
-"""What a courier tells its Sender and what the Sender answers: settings, events, actions, outcomes.
+"""What a courier tells its DecisionEngine and what that answers: settings, events, actions, outcomes.
 
 All times are integers in microseconds of the courier's own clock, durations included.
-The types carry facts only; every decision is made in `rules.py`.
+The types carry facts only; every decision is made in `decisions.py`.
 """
 
 from __future__ import annotations
@@ -245,7 +245,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrived:
-    """A new message, the Sender's to end exactly once; `earlier` is what was tried at it before: by a life that
+    """A new message, the DecisionEngine's to end exactly once; `earlier` is what was tried at it before: by a life that
     ended, or for a client whose call broke and who comes again. `restored`: an earlier life took it on."""
 
     message: int
@@ -331,9 +331,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RouteWas:
+class RestoredRoute:
     """What an earlier life knew of a route; `endpoint` names it where endpoints are routes apart, else None. `share`:
-    limit, times and messages a second, as `core/common_share.py` counts them. `cold_at`, `wait_until`: on this
+    limit, times and messages a second, as `core/shared_limit.py` counts them. `cold_at`, `wait_until`: on this
     clock. `wait_only`: all that is known of it is that it told to wait."""
 
     dest: int
@@ -346,15 +346,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Recalled:
+class RestoredState:
     """What an earlier life of this courier knew, told before anything else but the list: the first fresh word replaces
     it. `on_time`: by class, how many of how many endings were in time."""
 
-    routes: tuple[RouteWas, ...] = ()
+    routes: tuple[RestoredRoute, ...] = ()
     on_time: tuple[tuple[int, int], ...] = ()
 
 
-Event = Arrived | Settled | Flowing | Withdrawn | ListTold | Rang | Probed | PeerSaid | Recalled
+Event = Arrived | Settled | Flowing | Withdrawn | ListTold | Rang | Probed | PeerSaid | RestoredState
 
 # Actions: what the courier is to do, in this order.
 
--- a/calicohitch/journal.py
+++ b/calicohitch/journal.py
@@ -11,7 +11,7 @@
 Each segment begins with the moment at which it was begun, on the clock that its times are told by and on the machine's
 monotonic clock, so that a later life can have them on its own clock whatever the wall clock was set to meanwhile.
 
-A damaged stretch of a segment costs what stood in it and nothing else (`recovery/salvage.py`). Who was open there is
+A damaged stretch of a segment costs what stood in it and nothing else (`recovery/repair.py`). Who was open there is
 `doubtful`: an attempt, or an end, may be missing. A segment with damage is kept aside once it is no longer needed.
 """
 
@@ -37,7 +37,7 @@
 from .recovery import clocks
 from .recovery.clocks import Moment, between
 from .recovery.problems import FolderNewer, FolderProblem
-from .recovery.salvage import FRAME, Lost, Record, records
+from .recovery.repair import FRAME, Lost, Record, records
 
 FORMAT = 2  # 1 had no headers; a reader of 1 skips them
 _HEAD = struct.Struct(">BQ")  # kind of record, message
--- a/calicohitch/net/discovery.py
+++ b/calicohitch/net/discovery.py
@@ -16,8 +16,8 @@
 from ..config import Address, ConfigError
 from ..interface import Listed, ListKind, ListTold, Phase
 from ..config.settings import Names
-from ..core.leases import Holder, Leases
-from ..core.patience import Patience
+from ..core.descriptor_budget import DescriptorUse, DescriptorBudget
+from ..core.discovery_timeouts import DiscoveryTimeouts
 from ..core.system_errors import RETRY_PAUSE_S, Step, of_this_machine
 from .http import KeptConnection, Moved
 
@@ -237,10 +237,10 @@
         address: Address,
         directory: Directory,
         tell: Callable[[ListTold], None],
-        patience: Patience,
-        leases: Leases | None = None,
+        patience: DiscoveryTimeouts,
+        leases: DescriptorBudget | None = None,
     ) -> None:
-        lease = (leases, Holder.DISCOVERY) if leases else None
+        lease = (leases, DescriptorUse.DISCOVERY) if leases else None
         self._agent = KeptConnection(address, _MAX_LIST, needs_body=True, lease=lease)
         self._directory, self._tell = directory, tell
         self._version: int | None = None
--- a/calicohitch/net/http.py
+++ b/calicohitch/net/http.py
@@ -20,7 +20,7 @@
 import h11
 
 from ..config import Address
-from ..core.leases import Holder, Leases
+from ..core.descriptor_budget import DescriptorUse, DescriptorBudget
 from ..core.system_errors import RETRY_PAUSE_S, MachineError, Step, of_this_machine
 from . import answer
 from .head import Look
@@ -411,7 +411,7 @@
         address: Address,
         max_body: int = MAX_BODY,
         needs_body: bool = False,
-        lease: tuple[Leases, Holder] | None = None,
+        lease: tuple[DescriptorBudget, DescriptorUse] | None = None,
     ) -> None:
         """`lease`: the budget of descriptors, and whose part of it the connection takes."""
         self._address, self._max_body, self._needs_body, self._lease = address, max_body, needs_body, lease
--- a/calicohitch/net/notices.py
+++ b/calicohitch/net/notices.py
@@ -12,7 +12,7 @@
 
 from ..config import Address
 from ..journal import End
-from ..core.leases import Holder, Leases
+from ..core.descriptor_budget import DescriptorUse, DescriptorBudget
 from .http import KeptConnection
 
 _BATCH = 200  # notices in one request: well under 64 KiB
@@ -45,11 +45,11 @@
         self,
         address: Address,
         acknowledged: Callable[[int], None],
-        leases: Leases | None = None,
+        leases: DescriptorBudget | None = None,
         may_act: Callable[[], bool] = lambda: True,
     ) -> None:
         """`may_act`: asked before each request; while it says no, nothing is sent."""
-        lease = (leases, Holder.NOTICES) if leases else None
+        lease = (leases, DescriptorUse.NOTICES) if leases else None
         self._agent, self._acknowledged = KeptConnection(address, lease=lease), acknowledged
         self._may_act = may_act
         self._waiting: deque[Notice] = deque()
--- a/calicohitch/net/relay.py
+++ b/calicohitch/net/relay.py
@@ -21,18 +21,18 @@
 from ..config import Config
 from ..core.backoff import Backoff
 from ..core.invariants import Invariant, Invariants
-from ..core.leases import Holder, shared_out
-from ..core.memory import CallMemory
-from ..core.news import News
-from ..core.patience import Patience
-from ..core.seam import Call, Copies, Delivery, Ended, How, Refusal, Reply, Result, Submission
+from ..core.descriptor_budget import DescriptorUse, shared_out
+from ..core.call_history import CallHistory
+from ..core.change_notifier import ChangeNotifier
+from ..core.discovery_timeouts import DiscoveryTimeouts
+from ..core.protocols import Call, Replicator, Delivery, MessageEnd, EndKind, Refusal, Reply, Result, Submission
 from ..core.tasks import restarted
 from ..journal import Attempt, End, Entry, Journal, JournalFull
-from ..recovery import doubts
-from ..recovery.beliefs import MOST_MEMBERS
-from ..recovery.memory import Memory
-from ..recovery.phases import Did, Return
-from ..rules import Sender
+from ..recovery import indeterminate
+from ..recovery.cached_state import MOST_MEMBERS
+from ..recovery.state_cache import StateCache
+from ..recovery.recovery_phases import RecoveryCounter, Recovery
+from ..decisions import DecisionEngine
 from .discovery import Directory, Discovery, ListError, Member
 from .endpoints import Endpoints
 from .notices import Notice, Notices
@@ -85,22 +85,22 @@
         tracer: Tracer | None = None,
         speaks: Callable[[str, str, int], int] = lambda *_: 1,
         reserved: int = 0,
-        memory: Memory | None = None,
+        memory: StateCache | None = None,
         up_at: float | None = None,
-        copies: Copies | None = None,
+        copies: Replicator | None = None,
     ) -> None:
         """`memory`: what is kept of the world between lives; without one a life begins knowing nothing. `up_at`: when
         the process began, on the clock. `copies`: other relays hold copies of this one's work, and take it over."""
         self._memory_of_world = memory
-        self.came_back = Return(clock.now() if up_at is None else up_at)
+        self.came_back = Recovery(clock.now() if up_at is None else up_at)
         self._config, self._clock, self._journal = config, clock, journal
         settings = config.settings
-        self._sender = Sender(settings, config.seed)
+        self._engine = DecisionEngine(settings, config.seed)
         self._tracer = tracer
         self.leases = shared_out(config.limits.sockets, reserved)
         if tracer:
-            tracer.why = self._sender.why_held
-            self.leases.take(Holder.TRACING)  # for its collector, whether it has one or not
+            tracer.why = self._engine.why_held
+            self.leases.take(DescriptorUse.TRACING)  # for its collector, whether it has one or not
         self._open: dict[int, _Open] = {}
         self._by_id: dict[str, int] = {}
         self._events: deque[i.Event] = deque()
@@ -116,10 +116,10 @@
         self.max_clients = config.limits.sockets // 2
         self._directory = Directory(config.names, speaks)
         backoff = Backoff(settings.couriers, config.seed)
-        patience = Patience(settings.asks_for_list, backoff)
+        patience = DiscoveryTimeouts(settings.asks_for_list, backoff)
         self._discovery = Discovery(config.discovery, self._directory, self._listed, patience, self.leases)
         self._waits: dict[int, float] = {}  # destination, or endpoint where those are routes apart -> its end
-        self._disk_refused = News()
+        self._disk_refused = ChangeNotifier()
         journal.on_refused = self._disk_refused.tell
         self._pending_ends = PendingEnds(journal, clock.now, self._tell_end)
         self._notices = Notices(config.discovery, self._closed, self.leases, self._may_end)
@@ -132,7 +132,7 @@
         )
         self._deliveries: dict[int, Delivery] = {0: self._endpoints}
         self.invariants = Invariants()
-        self._memory = CallMemory(settings.open_cap * 4)
+        self._memory = CallHistory(settings.open_cap * 4)
         self._copies, self.letting_go = copies, False
         if copies:
             copies.attach(self)
@@ -210,7 +210,7 @@
             return Refusal.NO_KEY  # it could not be repeated as its class may
         if not self._directory.knows(told.dest):
             return Refusal.UNKNOWN
-        room = len(self._open) < self._config.settings.open_cap and self._sender.has_room()
+        room = len(self._open) < self._config.settings.open_cap and self._engine.has_room()
         if not room or not self._journal.has_room(len(told.body)):
             return Refusal.FULL
         if told.reply and (known := self._memory.recall(told.id)):
@@ -243,7 +243,7 @@
         self._open[number] = _Open(entry, told)
         self._by_id[told.id] = number
         if not self.came_back.over:
-            self.came_back.did(now, Did.FRESH)
+            self.came_back.did(now, RecoveryCounter.FRESH)
         return number
 
     def _take_again(self, entry: Entry, told: Submission) -> int | Refusal:
@@ -344,15 +344,15 @@
             self._feeding = False
 
     def _decide(self, events: list[i.Event]) -> list[i.Action]:
-        before, each = self._sender.decided(), iter(events)
+        before, each = self._engine.decided(), iter(events)
         try:
-            return self._sender.handle(to_micros(self._clock.now()), each)
+            return self._engine.handle(to_micros(self._clock.now()), each)
         except Exception:  # guards the open messages: a relay that ends can do nothing for them
             logger.exception("the decisions broke at {}", events)
             behind = list(each)  # the one that broke it: an outcome there would hold its slot
             self._events.extendleft(reversed(behind if len(behind) < len(events) else behind[1:]))
             # What they had decided they count on: a call that is not made would hold its slot for ever.
-            decided = self._sender.decided()
+            decided = self._engine.decided()
             return [] if decided is before else decided
 
     async def _keep(self) -> None:
@@ -362,8 +362,8 @@
             await anyio.sleep(_KEEP_S)
             if not self.came_back.told:
                 self._tell_return()
-            if self._sender.news.unread > _UNREAD_GROWS * unread:
-                unread = self._sender.news.unread
+            if self._engine.news.unread > _UNREAD_GROWS * unread:
+                unread = self._engine.news.unread
                 logger.bind(event="notes.unread", count=unread).warning(
                     "{} notes from other relays could not be read and were left out", unread
                 )
@@ -377,7 +377,7 @@
             self.heard_since_kept = False
             self._memory_of_world.keep(
                 self._clock.now(),
-                self._sender.known(),
+                self._engine.known(),
                 self._name_of,
                 str(self._config.discovery),
                 self._discovery.version,
@@ -578,7 +578,7 @@
         if not self.came_back.over:
             self.came_back.answered(now, message.entry.dest)
             if result.ended:
-                self.came_back.did(now, Did.SERVED, number)
+                self.came_back.did(now, RecoveryCounter.SERVED, number)
         message.calls.pop(attempt, None)
         if self._tracer:
             self._tracer.settled(number, attempt, result.outcome, result.wait, result.ended)
@@ -620,8 +620,8 @@
         """The delivery's end is the call's: what the endpoint answered, or a half of it that cannot be taken back."""
         delivered = result.outcome is i.Outcome.OK
         if message.reply:
-            how = How.DELIVERED if delivered else How.FAILED
-            message.reply.ended(Ended(how, may_have_run=True, answer=result.answer))
+            how = EndKind.DELIVERED if delivered else EndKind.FAILED
+            message.reply.ended(MessageEnd(how, may_have_run=True, answer=result.answer))
         if delivered:
             self._closed(message.entry.number)
         else:
@@ -631,14 +631,14 @@
         if (message := self._forget(number)) is None:
             return
         if not self.came_back.over:
-            self.came_back.did(self._clock.now(), Did.REFUSED, number)
+            self.came_back.did(self._clock.now(), RecoveryCounter.REFUSED, number)
         if self._tracer:
             self._tracer.ended(number, end.handed_back, end.retry_in)
         if message.told and message.told.reply:
             if reply := message.reply:
                 ran = any(attempt.may_have_run for attempt in message.entry.attempts)
-                how = How.REFUSED if end.handed_back else How.FAILED
-                reply.ended(Ended(how, end.retry_in, ran))
+                how = EndKind.REFUSED if end.handed_back else EndKind.FAILED
+                reply.ended(MessageEnd(how, end.retry_in, ran))
             self._remember(message.entry)
             return
         self._record_end(message.entry, end)
@@ -809,9 +809,9 @@
         for route, until in waits.items():
             self._waits[route] = max(self._waits.get(route, 0.0), until)
             dest, endpoint = (route, None) if route >= 0 else (self._dest_of(~route), ~route)
-            routes.append(i.RouteWas(dest, endpoint, wait_until=to_micros(until), wait_only=True))
+            routes.append(i.RestoredRoute(dest, endpoint, wait_until=to_micros(until), wait_only=True))
         if routes:
-            self.feed(i.Recalled(tuple(routes)))
+            self.feed(i.RestoredState(tuple(routes)))
         for entry in entries:
             self._enter(entry, self._out_until(entry) - self._clock.now())
 
@@ -887,10 +887,10 @@
             return
         cls = self._config.settings.classes[self._config.names.classes.index(entry.class_name)]
         try:
-            if (end := doubts.end_of(entry, cls)) is not None:
+            if (end := indeterminate.end_of(entry, cls)) is not None:
                 entry.end = end
                 self._record_end(entry, end)
-            elif (missing := doubts.missing_attempt(entry, cls)) is not None:
+            elif (missing := indeterminate.missing_attempt(entry, cls)) is not None:
                 entry.attempts.append(missing)
                 self._journal.attempt(entry.number, len(entry.attempts) - 1, missing.sent_at, missing.zone)
         except JournalFull as err:  # the next life comes to the same
--- a/calicohitch/recovery/beliefs.py
+++ b/calicohitch/recovery/cached_state.py
@@ -27,14 +27,14 @@
 _LARGEST = 1e9  # of a rate or limit a second; a larger one can only be damage
 
 
-class Unbelievable(Exception):
+class InvalidCachedState(Exception):
     """What is stored cannot be read; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRoute:
     """One route as it was. `endpoint` names it where endpoints are routes apart. `limit` in calls a second, `times` and
-    `came` as in `core/common_share.py`; `cold_since` and `wait_until` in wall milliseconds, 0 for none."""
+    `came` as in `core/shared_limit.py`; `cold_since` and `wait_until` in wall milliseconds, 0 for none."""
 
     dest: int
     endpoint: str = ""
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beliefs:
+class CachedState:
     """All that is stored. `members` in discovery's form; `on_time` by class: how many of how many were in time."""
 
     written: Moment
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Believed:
+class ValidatedState:
     """What of it holds now, times moved to the wall clock as it is. `left_out`: parts with their ages in milliseconds
     and why. `rolled_back`: the folder may be a copy from before its relay's last acts."""
 
@@ -74,7 +74,7 @@
     rolled_back: bool = False
 
 
-def encode(beliefs: Beliefs) -> bytes:
+def encode(beliefs: CachedState) -> bytes:
     """One line of JSON behind its checksum. A list too long for the bound is left out."""
     told = {
         "format": FORMAT,
@@ -104,16 +104,16 @@
     return b"%08x " % zlib.crc32(data) + data
 
 
-def decode(data: bytes) -> Beliefs:
-    """What was stored; Unbelievable where it is not whole, or says what cannot be."""
+def decode(data: bytes) -> CachedState:
+    """What was stored; InvalidCachedState where it is not whole, or says what cannot be."""
     if data[8:9] != b" " or data[:8] != b"%08x" % zlib.crc32(data[9:]):
-        raise Unbelievable("its checksum is wrong")
+        raise InvalidCachedState("its checksum is wrong")
     try:
         told = json.loads(data[9:])
         if told["format"] != FORMAT:
-            raise Unbelievable(f"it is of format {told['format']!r}, and this program reads {FORMAT}")
+            raise InvalidCachedState(f"it is of format {told['format']!r}, and this program reads {FORMAT}")
         wall, mono, boot = told["written"]
-        return Beliefs(
+        return CachedState(
             Moment(_number(wall, 1e15), _number(mono, 1e15), str(boot)),
             int(told["life"]),
             str(told["discovery"]),
@@ -127,7 +127,7 @@
             },
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as err:
-        raise Unbelievable(f"it cannot be understood: {type(err).__name__}: {err}") from err
+        raise InvalidCachedState(f"it cannot be understood: {type(err).__name__}: {err}") from err
 
 
 def _number(told: Any, most: float, least: float = 0.0) -> float:
@@ -155,14 +155,14 @@
         return None
 
 
-def believe(
-    beliefs: Beliefs,
+def validate(
+    beliefs: CachedState,
     now: Moment,
     discovery: str,
     known_revision: int,
     classes: Sequence[str],
     waits_outlast: bool = False,
-) -> Believed:
+) -> ValidatedState:
     """What of it holds at `now`, by its age and what the configuration says: `known_revision` is that of the list
     there, -1 for none."""
     gap = between(beliefs.written, now)
@@ -203,7 +203,7 @@
         if there and age > limit_ms:
             left_out.append((part, age, "too old"))
     on_time = {name: of for name, of in beliefs.on_time.items() if name in classes} if age <= SHARE_MS else {}
-    return Believed(
+    return ValidatedState(
         age,
         gap.set_by,
         tuple(members),
--- a/calicohitch/recovery/claim.py
+++ b/calicohitch/recovery/folder_lease.py
@@ -56,7 +56,7 @@
     return True
 
 
-class Claim:
+class FolderLease:
     """This process's hold on a folder. `take` begins a life; `check` before each act; `renew` twice a second."""
 
     def __init__(self, folder: Path, life: int, fd: int) -> None:
@@ -119,7 +119,7 @@
         os.pwrite(self._fd, line.encode(), 0)
 
     @classmethod
-    def begin(cls, folder: Path, after: int, wall: Callable[[], float]) -> Claim:
+    def begin(cls, folder: Path, after: int, wall: Callable[[], float]) -> FolderLease:
         """Make the next life's file, lock it, and remove the earlier ones; under `claim.lock`. What was begun in vain
         is taken back: an earlier life whose file is still there goes on."""
         life = max(after + 1, int(wall()))
@@ -173,7 +173,7 @@
     return []
 
 
-class Watcher:
+class LeaseMonitor:
     """Looks at a folder until it can be claimed. `look` gives the claim, or None and why not in `why`."""
 
     def __init__(
@@ -184,7 +184,7 @@
         self._since = 0.0  # it was first seen so
         self.why = ""
 
-    def look(self) -> Claim | None:
+    def look(self) -> FolderLease | None:
         """FolderProblem where the folder cannot be used at all."""
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
@@ -196,7 +196,7 @@
             raise unusable(self._folder, err) from err
         return None
 
-    def _look(self) -> Claim | None:
+    def _look(self) -> FolderLease | None:
         lives = _lives(self._folder)
         owner = self._owner(lives)
         if owner is None:
@@ -219,8 +219,8 @@
         self.why = f"life {life} (process {pid}) has it and is alive"
         return None
 
-    def _begin(self, lives: list[int]) -> Claim:
-        return Claim.begin(self._folder, lives[-1] if lives else 0, self._wall)
+    def _begin(self, lives: list[int]) -> FolderLease:
+        return FolderLease.begin(self._folder, lives[-1] if lives else 0, self._wall)
 
     def _owner(self, lives: list[int]) -> tuple[int, bytes] | None:
         """The life whose lock is held, and what it wrote last. Not only the last one: a life that could not be begun
@@ -243,10 +243,10 @@
                 os.close(fd)  # and with it the lock, if this look got it
 
 
-async def claimed(folder: Path, wait_s: float = WAIT_S) -> Claim:
+async def claimed(folder: Path, wait_s: float = WAIT_S) -> FolderLease:
     """Begin a life on the folder; while its owner is alive, or its disk refuses, wait for it, so long at most.
     FolderProblem otherwise."""
-    watcher = Watcher(folder)
+    watcher = LeaseMonitor(folder)
     until = time.monotonic() + wait_s
     waiting = False
     while True:
--- a/calicohitch/recovery/phases.py
+++ b/calicohitch/recovery/recovery_phases.py
@@ -19,7 +19,7 @@
 SECOND_MS = 1_000.0
 
 
-class Phase(Enum):
+class RecoveryPhase(Enum):
     UP = "up"
     FOLDER = "folder"
     LIST = "list"
@@ -29,7 +29,7 @@
     UNENDED = "unended"
 
 
-class Did(Enum):
+class RecoveryCounter(Enum):
     """What is counted by second: who came, and how messages ended."""
 
     RESTORED = "restored"  # messages of an earlier life that were delivered or ended
@@ -39,37 +39,37 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
+class PhaseReached:
     """One phase: `after` in milliseconds since the process was up; what it tells beside that."""
 
-    phase: Phase
+    phase: RecoveryPhase
     after: float
     facts: dict[str, int] = field(default_factory=dict)
 
 
-class Return:
+class Recovery:
     """One relay's return. Feed it what happens; `news` gives what is to be told since it was last asked."""
 
     def __init__(self, up: float) -> None:
         self._up = up
-        self._passed: dict[Phase, Passed] = {}
-        self._news: list[Passed] = []
+        self._passed: dict[RecoveryPhase, PhaseReached] = {}
+        self._news: list[PhaseReached] = []
         self._restored: set[int] = set()
         self._untried: set[int] = set()  # restored messages that were owed a call, and had none yet
         self._tried = self._unseen = 0  # how many of those had one, and were given up without
         self._untold: set[int] = set()  # destinations of restored work without a limit or an answer
         self._second = 0
-        self._counts: Counter[Did] = Counter()
+        self._counts: Counter[RecoveryCounter] = Counter()
         self.seconds: list[tuple[int, dict[str, int]]] = []  # those that are over and not told yet
         self.over = False  # asked for each message
         self.told = False  # all of it, to the last second
-        self._pass(Phase.UP, up)
+        self._pass(RecoveryPhase.UP, up)
 
     def folder(self, now: float, restored: dict[int, int], damaged: int, untried: Collection[int] = ()) -> None:
         """The journal is read: restored messages with their destinations, those of them that may not have been called
         yet, and damaged stretches."""
         self._restored, self._untold, self._untried = set(restored), set(restored.values()), set(untried)
-        self._pass(Phase.FOLDER, now, restored=len(restored), damaged=damaged, untried=len(untried))
+        self._pass(RecoveryPhase.FOLDER, now, restored=len(restored), damaged=damaged, untried=len(untried))
         self._look(now)
 
     def tried(self, number: int) -> None:
@@ -80,7 +80,7 @@
 
     def listed(self, now: float) -> None:
         """Discovery was heard."""
-        self._pass(Phase.LIST, now)
+        self._pass(RecoveryPhase.LIST, now)
         self._look(now)
 
     def answered(self, now: float, dest: int) -> None:
@@ -89,27 +89,27 @@
             self._untold.discard(dest)
             self._look(now)
 
-    def did(self, now: float, what: Did, number: int = 0) -> None:
+    def did(self, now: float, what: RecoveryCounter, number: int = 0) -> None:
         """Something to count; the end of a restored message goes by its number."""
         if self.over:
             return
         self._roll(now)
-        if number in self._untried and what is Did.REFUSED:
+        if number in self._untried and what is RecoveryCounter.REFUSED:
             self._untried.discard(number)
             self._unseen += 1
         if number in self._restored:
             self._restored.discard(number)
-            self._counts[Did.RESTORED] += 1
+            self._counts[RecoveryCounter.RESTORED] += 1
         self._counts[what] += 1
         self._look(now)
 
-    def news(self, now: float) -> list[Passed]:
+    def news(self, now: float) -> list[PhaseReached]:
         """What passed since the last call."""
         if not self.over:
             self._roll(now)
             self._look(now)
             if now - self._up > LONGEST_MS:
-                self._pass(Phase.UNENDED, now, restored=len(self._restored), untold=len(self._untold))
+                self._pass(RecoveryPhase.UNENDED, now, restored=len(self._restored), untold=len(self._untold))
         elif self._counts:
             self._close_second()
         told, self._news = self._news, []
@@ -117,21 +117,21 @@
         return told
 
     def _look(self, now: float) -> None:
-        if Phase.FOLDER not in self._passed:
+        if RecoveryPhase.FOLDER not in self._passed:
             return
         if not self._restored:
-            self._pass(Phase.BACKLOG, now, tried=self._tried, unseen=self._unseen)
+            self._pass(RecoveryPhase.BACKLOG, now, tried=self._tried, unseen=self._unseen)
             self._untold.clear()  # nothing waits for them any more
         if not self._untold:
-            self._pass(Phase.LIMITS, now)
-        if self._passed.keys() >= {Phase.LIST, Phase.LIMITS, Phase.BACKLOG}:
-            self._pass(Phase.FULL, now)
+            self._pass(RecoveryPhase.LIMITS, now)
+        if self._passed.keys() >= {RecoveryPhase.LIST, RecoveryPhase.LIMITS, RecoveryPhase.BACKLOG}:
+            self._pass(RecoveryPhase.FULL, now)
 
-    def _pass(self, phase: Phase, now: float, **facts: int) -> None:
+    def _pass(self, phase: RecoveryPhase, now: float, **facts: int) -> None:
         if phase not in self._passed:
-            self._passed[phase] = passed = Passed(phase, max(0.0, now - self._up), facts)
+            self._passed[phase] = passed = PhaseReached(phase, max(0.0, now - self._up), facts)
             self._news.append(passed)
-            self.over = self.over or phase in (Phase.FULL, Phase.UNENDED)
+            self.over = self.over or phase in (RecoveryPhase.FULL, RecoveryPhase.UNENDED)
 
     def _roll(self, now: float) -> None:
         second = int((now - self._up) // SECOND_MS)
--- a/calicohitch/recovery/memory.py
+++ b/calicohitch/recovery/state_cache.py
@@ -1,7 +1,7 @@
 """What the relay keeps of the world for its next life, and what it takes over from the last one.
 
-Between the decisions, which know numbers and microseconds of their own clock, and `beliefs`, which knows names and wall
-milliseconds.
+Between the decisions, which know numbers and microseconds of their own clock, and `cached_state`, which knows names and
+wall milliseconds.
 """
 
 from __future__ import annotations
@@ -13,38 +13,38 @@
 from loguru import logger
 
 from ..clock import to_micros, to_ms
-from ..interface import Recalled, RouteWas
+from ..interface import RestoredState, RestoredRoute
 from ..journal import Entry
-from . import beliefs, clocks
-from .keeper import Keeper
+from . import cached_state, clocks
+from .state_files import StateFiles
 
 _NO_SHARE = (0.0, 1.0, 0.0)  # of a route that no answer told a limit of, and no message came for
 _WORTH_A_LINE_MS = 1_000.0  # clocks that are steered differ by less
 _EVERY_MS = 1_000.0  # between two writes, while something changes or work is open
 
 
-class Memory:
+class StateCache:
     """One relay's stored beliefs. `read` once at the start, `keep` now and then."""
 
     def __init__(self, folder: Path, life: int, classes: Sequence[str], waits_outlast: bool = False) -> None:
-        self._keeper, self._life, self._classes = Keeper(folder), life, classes
+        self._keeper, self._life, self._classes = StateFiles(folder), life, classes
         self._waits_outlast = waits_outlast
         self._kept_at = -_EVERY_MS
         self._failed = False
-        self.found: beliefs.Beliefs | None = None
-        self.believed: beliefs.Believed | None = None
+        self.found: cached_state.CachedState | None = None
+        self.believed: cached_state.ValidatedState | None = None
 
     def read(self, wall: float, discovery: str, known_revision: int) -> None:
         """What an earlier life stored, as far as it is believed at `wall`; the rest is logged once with its age."""
         try:
             self.found = self._keeper.read()
-        except beliefs.Unbelievable as err:
+        except cached_state.InvalidCachedState as err:
             logger.bind(event="recovery.unread").warning("what an earlier life knew is not believed: {}", err)
             return
         if self.found is None:
             return
         now = clocks.now(wall)
-        told = self.believed = beliefs.believe(
+        told = self.believed = cached_state.validate(
             self.found, now, discovery, known_revision, self._classes, self._waits_outlast
         )
         for part, age, why in told.left_out:
@@ -81,7 +81,7 @@
                 if not entry.doubtful:
                     entry.doubtful, entry.whole_until = True, found.written.wall + told.set_by
 
-    def recalled(self, number: Callable[[str], int | None], wall: float) -> Recalled | None:
+    def recalled(self, number: Callable[[str], int | None], wall: float) -> RestoredState | None:
         """What the decisions are told; `number` of an endpoint by its name, None where the list does not name it."""
         if (told := self.believed) is None:
             return None
@@ -91,7 +91,7 @@
             if route.endpoint and endpoint is None:
                 continue
             routes.append(
-                RouteWas(
+                RestoredRoute(
                     route.dest,
                     endpoint,
                     (route.limit, route.times, route.came),
@@ -101,7 +101,7 @@
                 )
             )
         on_time = tuple(told.on_time.get(name, (0, 0)) for name in self._classes)
-        return Recalled(tuple(routes), on_time)
+        return RestoredState(tuple(routes), on_time)
 
     def due(self, wall: float) -> bool:
         """Whether the last write is a second old: asked before what is known is gathered."""
@@ -110,7 +110,7 @@
     def keep(
         self,
         wall: float,
-        known: Recalled,
+        known: RestoredState,
         name: Callable[[int], str],
         discovery: str,
         revision: int | None,
@@ -119,7 +119,7 @@
         """Store what is known now; `members` in discovery's form. Routes of which nothing is known are left out."""
         self._kept_at = wall
         routes = tuple(
-            beliefs.KnownRoute(
+            cached_state.KnownRoute(
                 was.dest,
                 name(was.endpoint) if was.endpoint is not None else "",
                 *was.share,
@@ -131,7 +131,7 @@
             if was.share != _NO_SHARE or was.sick or was.cold_at > 0 or was.wait_until
         )
         on_time = dict(zip(self._classes, known.on_time, strict=True))
-        told = beliefs.Beliefs(
+        told = cached_state.CachedState(
             clocks.now(wall),
             self._life,
             discovery,
@@ -141,7 +141,7 @@
             on_time,
         )
         try:
-            self._keeper.write(beliefs.encode(told))
+            self._keeper.write(cached_state.encode(told))
             self._failed = False
         except OSError as err:  # the journal goes on; the next life starts with less
             if not self._failed:
--- a/calicohitch/recovery/keeper.py
+++ b/calicohitch/recovery/state_files.py
@@ -11,21 +11,21 @@
 from pathlib import Path
 
 from ..core.files import write_all
-from .beliefs import MOST_BYTES, Beliefs, Unbelievable, decode
+from .cached_state import MOST_BYTES, CachedState, InvalidCachedState, decode
 
 _NAMES = ("beliefs-0", "beliefs-1")
 _HEAD = 26  # bytes: the number of the write and the length of what follows, in hexadecimal
 
 
-class Keeper:
+class StateFiles:
     def __init__(self, folder: Path) -> None:
         self._paths = [folder / name for name in _NAMES]
         self._number = 0  # of the last write
 
-    def read(self) -> Beliefs | None:
-        """What the earlier life stored last; None where it stored nothing, Unbelievable where none can be read."""
-        found: list[tuple[int, Beliefs]] = []
-        problem: Unbelievable | None = None
+    def read(self) -> CachedState | None:
+        """What the earlier life stored last; None where it stored nothing, InvalidCachedState where none is whole."""
+        found: list[tuple[int, CachedState]] = []
+        problem: InvalidCachedState | None = None
         for path in self._paths:
             try:
                 with path.open("rb") as file:
@@ -34,8 +34,8 @@
             except FileNotFoundError:
                 continue
             except OSError as err:
-                problem = Unbelievable(f"{path.name} cannot be read: {err.strerror}")
-            except Unbelievable as err:
+                problem = InvalidCachedState(f"{path.name} cannot be read: {err.strerror}")
+            except InvalidCachedState as err:
                 problem = err
         if found:
             self._number, newest = max(found, key=lambda one: one[0])
@@ -61,7 +61,7 @@
     try:
         number, length = (int(part, 16) for part in head.split())
     except ValueError as err:
-        raise Unbelievable("its head cannot be read") from err
+        raise InvalidCachedState("its head cannot be read") from err
     if not 0 <= length <= 2 * MOST_BYTES or number < 0:
-        raise Unbelievable("its head is out of bounds")
+        raise InvalidCachedState("its head is out of bounds")
     return number, length
--- a/calicohitch/service.py
+++ b/calicohitch/service.py
@@ -16,22 +16,22 @@
 from .clock import Clock, to_ms
 from .config import Address, Config
 from .config.operator import Operator
-from .core.signals import Told, heeded
+from .core.signals import SignalState, heeded
 from .core.system_errors import Step, of_this_machine
 from .journal import DISK_SHARE, Journal
 from .intake.admission.settings import AdmissionSettings
 from .intake.clients import Clients
 from .net.http import listen
 from .net.relay import Relay
-from .recovery.claim import RENEW_S, Claim, claimed
+from .recovery.folder_lease import RENEW_S, FolderLease, claimed
 from .recovery import clocks
-from .recovery.memory import Memory
+from .recovery.state_cache import StateCache
 from .recovery.problems import FolderFailing, FolderLost, FolderProblem, unusable
 
 if TYPE_CHECKING:
     from .grpc.intake import GrpcIntake
     from .grpc.settings import GrpcSettings
-    from .takeover.manager import Takeover
+    from .failover.manager import FailoverManager
     from .tracing.tracer import Tracer
 
 _MB = 1_000_000  # the platform counts disk in these
@@ -72,9 +72,9 @@
     reload: Callable[[], Config] | None,
     clock: Clock,
     operator: Operator,
-    claim: Claim,
+    claim: FolderLease,
     up_at: float,
-    told: Told,
+    told: SignalState,
 ) -> None:
     """One life, on the folder that it has claimed."""
     logger.bind(event="claim.taken", life=claim.life).info("life {} has the folder {}", claim.life, config.state)
@@ -82,7 +82,7 @@
     tracer = _tracer(config, clock, operator)
     grpc = operator.grpc
     takeover = _takeover(config, clock, operator, claim, journal)
-    memory = Memory(config.state, claim.life, config.names.classes, operator.recovery.waits_outlast)
+    memory = StateCache(config.state, claim.life, config.names.classes, operator.recovery.waits_outlast)
     if grpc:  # its connections, on both sides, take part in the one limit of descriptors
         relay = Relay(
             config,
@@ -140,7 +140,7 @@
         raise takeover.ended
 
 
-async def _journal(config: Config, clock: Clock, claim: Claim, wait_s: float) -> Journal:
+async def _journal(config: Config, clock: Clock, claim: FolderLease, wait_s: float) -> Journal:
     """The journal, read whole. What cannot be read for a moment is tried again, so long at most, and then left out."""
     until = anyio.current_time() + wait_s
     while True:
@@ -177,7 +177,7 @@
         await anyio.sleep(_AGAIN_S)
 
 
-async def _handed_over(relay: Relay, takeover: Takeover) -> None:
+async def _handed_over(relay: Relay, takeover: FailoverManager) -> None:
     """Give copied work to those who hold copies, before the lease goes: what is out ends first, for a while."""
     takeover.stop_taking()
     with anyio.move_on_after(_HAND_OVER_S):
@@ -186,7 +186,7 @@
     await takeover.hand_over(_HAND_OVER_S)
 
 
-async def _hold(claim: Claim, everything: anyio.CancelScope) -> None:
+async def _hold(claim: FolderLease, everything: anyio.CancelScope) -> None:
     """Keep the claim on the folder; once a later life has it, end at once and leave all that is open to that one."""
 
     def end() -> None:
@@ -221,12 +221,14 @@
     return GrpcIntake(relay, settings, config.settings.classes, listener, clock)
 
 
-def _takeover(config: Config, clock: Clock, operator: Operator, claim: Claim, journal: Journal) -> Takeover | None:
+def _takeover(
+    config: Config, clock: Clock, operator: Operator, claim: FolderLease, journal: Journal
+) -> FailoverManager | None:
     """Copies and the fleet, where the operators' file has it."""
     if operator.fleet is None:
         return None
     from .fleet.etcd_store import EtcdStore
-    from .takeover.manager import Takeover
+    from .failover.manager import FailoverManager
 
     settings = operator.fleet
     if settings.hold_bytes > config.limits.disk_mb * _MB * (1 - DISK_SHARE):
@@ -235,7 +237,7 @@
             f"of {config.limits.disk_mb:g} MB: lower it, or raise limits.disk_mb"
         )
     store = EtcdStore(settings.store, settings.store_timeout_ms)
-    return Takeover(
+    return FailoverManager(
         settings, config.name, claim.life, config.names.classes, config.state, store, clock.now, journal.may_act
     )
 
--- a/calicohitch/tracing/export/collector.py
+++ b/calicohitch/tracing/export/collector.py
@@ -12,7 +12,7 @@
 
 from ...clock import Clock
 from ...net.http import KeptConnection, Response
-from ...core.news import News
+from ...core.change_notifier import ChangeNotifier
 from ..otlp import proto_request, proto_spans, rejected_spans
 from ..settings import CollectorSettings
 from ..spans import Span, Value
@@ -40,7 +40,7 @@
         self._retry = Retry(seed, settings.give_up_ms)
         self._server = KeptConnection(settings.address, _MAX_ANSWER)
         self._failing = self.stopping = False
-        self._news = News()
+        self._news = ChangeNotifier()
 
     def offer(self, spans: list[Span]) -> None:
         self.queue.put(proto_spans(spans))
--- a/calicohitch/tracing/export/file.py
+++ b/calicohitch/tracing/export/file.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from ...clock import Clock
-from ...core.news import News
+from ...core.change_notifier import ChangeNotifier
 from ..otlp import json_line
 from ..settings import FileSettings
 from ..spans import Span, Value
@@ -33,7 +33,7 @@
         self._set, self._clock, self._resource, self._scope = settings, clock, resource, scope
         self.queue = ExportQueue(settings.queue_bytes)
         self._failing = self.stopping = False
-        self._news = News()
+        self._news = ChangeNotifier()
 
     def offer(self, spans: list[Span]) -> None:
         self.queue.put(json_line(spans, self._resource, self._scope()))
--- a/calicohitch/wire/http2.py
+++ b/calicohitch/wire/http2.py
@@ -23,7 +23,7 @@
 from ..clock import Clock
 from ..net.http import Link
 from .conduct import TINY, Act, Conduct
-from ..core.news import News
+from ..core.change_notifier import ChangeNotifier
 
 Headers = Sequence[tuple[bytes, bytes]]
 Codes = h2.errors.ErrorCodes
@@ -62,8 +62,8 @@
         self.headers: Headers | None = None
         self.trailers: Headers | None = None
         self._chunks: deque[tuple[bytes, int]] = deque()  # data, and what it took of the window
-        self.news = News()  # of what the peer sent, or that the stream is over
-        self._room = News()  # that sending may go on
+        self.news = ChangeNotifier()  # of what the peer sent, or that the stream is over
+        self._room = ChangeNotifier()  # that sending may go on
         self.remote_ended = self.local_ended = False
         self.reset: StreamReset | None = None
         self.owed = 0  # bytes of its window that were taken and are not given back yet
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small courier's world: build a Sender, feed it events, look at what it does. And what plays side by side."""
+"""A small courier's world: build a DecisionEngine, feed it events, look at what it does; and what plays it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from fleet.side_by_side import SIDE_BY_SIDE, Play
 
 from calicohitch import interface as i
-from calicohitch.rules import SECOND, Sender
+from calicohitch.decisions import SECOND, DecisionEngine
 
 MS = 1_000
 SAFE, KEYED, UNSAFE, ORDERED = range(4)
@@ -23,7 +23,7 @@
 
 
 class Courier:
-    """Runs one Sender and keeps the books that a courier would."""
+    """Runs one DecisionEngine and keeps the books that a courier would."""
 
     def __init__(self, seed: int = 7, **changes: Any) -> None:
         told: dict[str, Any] = {
@@ -36,7 +36,7 @@
             "rules": RULES,
             "tick": 5 * MS,
         }
-        self.sender = Sender(i.Settings(**(told | changes)), seed=seed)
+        self.sender = DecisionEngine(i.Settings(**(told | changes)), seed=seed)
         self.now = 1_000 * SECOND
         self.out: dict[tuple[int, int], int] = {}
         self.sent_at: dict[tuple[int, int], int] = {}
--- a/tests/takeover/model.py
+++ b/tests/failover/model.py
@@ -1,4 +1,4 @@
-"""Relays as the decisions of `fleet/` and `takeover/` have them, on one set time with clocks of their own, with links
+"""Relays as the decisions of `fleet/` and `failover/` have them, on one set time with clocks of their own, with links
 and a store that fail: what the state machine in `test_model.py` drives. No sockets, no files.
 """
 
@@ -9,14 +9,14 @@
 from dataclasses import dataclass, field, replace
 
 from calicohitch.fleet.memory_store import MemoryStore
-from calicohitch.fleet.proof import Proof, Term
-from calicohitch.fleet.records import Claim, Keys, Member, part_of
+from calicohitch.fleet.lease_validity import LeaseValidity, LeaseTerm
+from calicohitch.fleet.records import FailoverClaim, Keys, Member, part_of
 from calicohitch.fleet.roster import Roster
-from calicohitch.fleet.tenure import Kept, Step, Taken, Tenure
-from calicohitch.takeover import frames
-from calicohitch.takeover.choice import chosen
-from calicohitch.takeover.claims import Claims
-from calicohitch.takeover.copying import Copying, Link
+from calicohitch.fleet.ownership import Kept, Step, Taken, Ownership
+from calicohitch.failover import frames
+from calicohitch.failover.choice import chosen
+from calicohitch.failover.claims import Claims
+from calicohitch.failover.copying import Replication, Link
 
 PARTS, TTL = 2, 1_000.0
 LATE = 200.0  # what a holder may leave unacknowledged
@@ -113,11 +113,11 @@
         self.world, self.name, self.life = world, name, life
         self.disk = world.disks[name]
         self.roster = Roster(KEYS)
-        self.term = Term(TTL, 50.0)
-        self.proof = Proof(self.term)
-        self.tenure = Tenure(KEYS, name, PARTS, Member(0, life, name))
+        self.term = LeaseTerm(TTL, 50.0)
+        self.proof = LeaseValidity(self.term)
+        self.tenure = Ownership(KEYS, name, PARTS, Member(0, life, name))
         self.claims = Claims(name, self.term, 0.0, self.now())
-        self.copying = Copying(PARTS, world.copies)
+        self.copying = Replication(PARTS, world.copies)
         self.wires: dict[str, Wire] = {}
         self.pending: tuple | None = None
         self.lease = 0
@@ -197,7 +197,7 @@
         for message in list(self.disk.messages.values()):
             lost = taken.parts is not None and part_of(message.id, PARTS) not in taken.parts
             if message.origin and not message.confirmed:
-                lost = lost or self.roster.claims.get(message.origin) != Claim(self.name, kept.epoch, True)
+                lost = lost or self.roster.claims.get(message.origin) != FailoverClaim(self.name, kept.epoch, True)
             if lost or taken.doubted:  # one that is doubted is ended or repeated by its class, not told here
                 del self.disk.messages[message.id]
             else:
@@ -381,7 +381,7 @@
                     Message(wire_id, attempts, (owner, epoch, part_of(wire_id, PARTS)))
                     for wire_id, (attempts, origin) in sorted(held.known.items())
                     if part_of(wire_id, PARTS) in due
-                    and (origin is None or self.roster.claims.get(origin) == Claim(owner, epoch, True))
+                    and (origin is None or self.roster.claims.get(origin) == FailoverClaim(owner, epoch, True))
                 ]
                 for message in taken:
                     self.disk.messages[message.id] = message
@@ -396,7 +396,7 @@
             self._adopt(*adopting)
 
     def _adopt(self, owner: str, epoch: int, parts: list[int], taken: list[Message]) -> None:
-        mine = Claim(self.name, self.tenure.epoch)
+        mine = FailoverClaim(self.name, self.tenure.epoch)
         if not self.reach():
             return
         told = [self.roster.claims.get((owner, epoch, part)) for part in parts]
@@ -421,5 +421,5 @@
         self.read()
 
 
-def replace_adopted(claim: Claim) -> Claim:
-    return Claim(claim.relay, claim.epoch, True)
+def replace_adopted(claim: FailoverClaim) -> FailoverClaim:
+    return FailoverClaim(claim.relay, claim.epoch, True)
--- a/tests/takeover/test_decisions.py
+++ b/tests/failover/test_decisions.py
@@ -12,27 +12,38 @@
 from calicohitch.config import ConfigError
 from calicohitch.config.operator import load
 from calicohitch.fleet.memory_store import MemoryStore
-from calicohitch.fleet.proof import Proof, Term
-from calicohitch.fleet.records import Bad, Claim, Holder, Keys, Member, State, Work, part_of, read_record, write_record
+from calicohitch.fleet.lease_validity import LeaseValidity, LeaseTerm
+from calicohitch.fleet.records import (
+    Bad,
+    FailoverClaim,
+    ReplicaHolder,
+    Keys,
+    Member,
+    State,
+    Work,
+    part_of,
+    read_record,
+    write_record,
+)
 from calicohitch.fleet.roster import Roster
 from calicohitch.fleet.store import Put
-from calicohitch.fleet.tenure import Kept, Taken, Tenure
+from calicohitch.fleet.ownership import Kept, Taken, Ownership
 from calicohitch.journal import Attempt, Entry, Journal, Origin, payloads
-from calicohitch.takeover import frames
-from calicohitch.takeover.choice import chosen, ranked
-from calicohitch.takeover.claims import STEP_MS, Claims
-from calicohitch.takeover.copying import Copying, Link
-from calicohitch.takeover.holdings import Holdings, NoRoom
-from calicohitch.takeover.offsets import Offset
+from calicohitch.failover import frames
+from calicohitch.failover.choice import chosen, ranked
+from calicohitch.failover.claims import STEP_MS, Claims
+from calicohitch.failover.copying import Replication, Link
+from calicohitch.failover.holdings import ReplicaStore, NoRoom
+from calicohitch.failover.offsets import Offset
 
 KEYS = Keys("test")
-TERM = Term(1_000.0, 100.0)
-H1, H2 = Holder("r1", "x1"), Holder("r2", "x2")
+TERM = LeaseTerm(1_000.0, 100.0)
+H1, H2 = ReplicaHolder("r1", "x1"), ReplicaHolder("r2", "x2")
 
 
 class Proofs(unittest.TestCase):
     def test_either_the_store_or_every_holder_proves_it(self) -> None:
-        proof = Proof(TERM)
+        proof = LeaseValidity(TERM)
         self.assertFalse(proof.holds(0.0, ["r1"]))
         self.assertTrue(proof.holds(0.0, []))  # nobody could claim it
         proof.renewed(0.0)
@@ -80,12 +91,12 @@
         self.assertLessEqual(offset.earliest(500.0, here), 500.0 + true + 1e-6)
 
 
-class Copies(unittest.TestCase):
+class Replicator(unittest.TestCase):
     def setUp(self) -> None:
-        self.copying = Copying(2, 1)
+        self.copying = Replication(2, 1)
         self.sent: dict[str, list[frames.Frame]] = {"r1": [], "r2": []}
 
-    def link(self, holder: Holder) -> Link:
+    def link(self, holder: ReplicaHolder) -> Link:
         link = Link(holder.relay, holder.holding, lambda frame: self.sent[holder.relay].append(frame) or True, 0.0)
         self.copying.came_up(link)
         return link
@@ -116,13 +127,13 @@
     def test_one_that_lost_its_copies_does_not_count(self) -> None:
         self.copying.open(7, 0, True, lambda: [b"taken"])
         self.copying.publish(((H1,), ()), 0.0)
-        again = self.link(Holder("r1", "new"))
+        again = self.link(ReplicaHolder("r1", "new"))
         self.copying.give(again, 0, 0.0)
         self.copying.acked(again, 99, 0.0)
         self.copying.record(7, b"attempt", 0.0)
         self.copying.acked(again, 99, 0.0)
         self.assertFalse(self.copying.is_safe(7))
-        self.assertEqual(self.copying.arrange([["r1"], []], lambda _: False, 0.0), ((Holder("r1", "new"),), ()))
+        self.assertEqual(self.copying.arrange([["r1"], []], lambda _: False, 0.0), ((ReplicaHolder("r1", "new"),), ()))
 
     def test_what_goes_behind_and_what_is_not_copied_waits_for_nothing(self) -> None:
         self.copying.publish(((H1,), (H1,)), 0.0)
@@ -204,7 +215,7 @@
         self.held = {("r0", 1): "other"}
         self.assertEqual(self.due(1_500.0), [])
         self.held = {("r0", 1): "x1"}
-        self.store.commit_now([], [Put(KEYS.claim("r0", 1, 0), write_record(Claim("r2", 1)))])
+        self.store.commit_now([], [Put(KEYS.claim("r0", 1, 0), write_record(FailoverClaim("r2", 1)))])
         self.assertEqual(self.due(1_600.0), [1])
         self.store.commit_now([], [Put(KEYS.generation, b"another")])
         self.assertEqual(self.due(1_700.0), [])
@@ -220,7 +231,7 @@
         self.claims.claiming("r0", 1)
         self.assertTrue(self.claims.denies(self.roster, "r0", 1))
         self.claims.not_claimed("r0", 1)
-        self.store.commit_now([], [Put(KEYS.claim("r0", 1, 0), write_record(Claim("r1", 1)))])
+        self.store.commit_now([], [Put(KEYS.claim("r0", 1, 0), write_record(FailoverClaim("r1", 1)))])
         self.due(1_600.0)
         self.assertTrue(self.claims.denies(self.roster, "r0", 1))
 
@@ -229,7 +240,7 @@
     def setUp(self) -> None:
         self.store = MemoryStore(lambda: 0.0)
         self.roster = Roster(KEYS)
-        self.tenure = Tenure(KEYS, "r0", 2, Member(0, 1, "h:1"))
+        self.tenure = Ownership(KEYS, "r0", 2, Member(0, 1, "h:1"))
         self.put(KEYS.generation, b"g")
 
     def put(self, key: str, value: bytes) -> None:
@@ -260,7 +271,7 @@
     def test_epochs_grow_whatever_is_known(self) -> None:
         self.assertEqual(self.registered(), 1)
         self.assertEqual(self.registered(Kept(7)), 8)
-        self.tenure = Tenure(KEYS, "r0", 2, Member(0, 2, "h:1"))
+        self.tenure = Ownership(KEYS, "r0", 2, Member(0, 2, "h:1"))
         self.assertEqual(self.registered(), 9)
 
     def test_a_folder_that_nobody_claimed_is_taken_up_whole(self) -> None:
@@ -272,10 +283,10 @@
     def test_of_a_claimed_folder_only_what_nobody_claimed(self) -> None:
         kept = Kept(1, True, "g")
         self.registered(), self.work(1, State.LEFT)
-        self.put(KEYS.claim("r0", 1, 0), write_record(Claim("r1", 1)))
+        self.put(KEYS.claim("r0", 1, 0), write_record(FailoverClaim("r1", 1)))
         self.registered(kept)
         self.assertEqual(self.resumed(kept), Taken(frozenset({1})))
-        self.assertEqual(self.roster.claims["r0", 1, 1], Claim("r0", 2, adopted=True))
+        self.assertEqual(self.roster.claims["r0", 1, 1], FailoverClaim("r0", 2, adopted=True))
 
     def test_a_folder_whose_work_is_gone_from_the_store_was_adopted_long_ago(self) -> None:
         self.registered(Kept(1, True, "g"))
@@ -292,7 +303,7 @@
         self.registered()
         self.work(1)
         self.assertEqual(self.tenure.look(self.roster), "")
-        other = Tenure(KEYS, "r0", 2, Member(0, 5, "h:9"))
+        other = Ownership(KEYS, "r0", 2, Member(0, 5, "h:9"))
         epoch, step = other.register(self.roster, Kept(), 0)
         self.store.commit_now(step.conditions, step.ops)
         self.read()
@@ -300,7 +311,7 @@
 
     def test_another_of_its_name_is_seen_unless_it_has_this_folder(self) -> None:
         self.registered()
-        later = Tenure(KEYS, "r0", 2, Member(0, 2, "h:1"))
+        later = Ownership(KEYS, "r0", 2, Member(0, 2, "h:1"))
         self.assertIn("is alive, in epoch 1", later.taken_by(self.roster, Kept(0)))
         self.assertEqual(later.taken_by(self.roster, Kept(1)), "")
 
@@ -326,14 +337,14 @@
         return Entry(number, f"m{number}", "orders", 7, 50_000.0, "k", body, [Attempt(10_000.0, 0)])
 
     def test_what_is_held_outlasts_the_process_and_is_told_anew_without_a_gap(self) -> None:
-        holdings = Holdings(self.folder, 1_000_000, lambda: 0.0)
+        holdings = ReplicaStore(self.folder, 1_000_000, lambda: 0.0)
         held = holdings.open("r0", 3, 2)
         for number in (1, 2, 3, 4):
             for payload in payloads(self.entry(number)):
                 holdings.record(held, part_of(f"m{number}", 2), payload)
         name = held.name
         holdings.close()
-        holdings = Holdings(self.folder, 1_000_000, lambda: 0.0)
+        holdings = ReplicaStore(self.folder, 1_000_000, lambda: 0.0)
         held = holdings.open("r0", 3, 2)
         self.assertEqual((held.name, len(held)), (name, 4))
         part = part_of("m1", 2)
@@ -349,7 +360,7 @@
         self.assertEqual((first.deadline, first.attempts[0].sent_at, first.body), (50_010.0, 10_010.0, b"body"))
 
     def test_an_unknown_clock_is_taken_for_the_earliest_that_it_can_be(self) -> None:
-        holdings = Holdings(self.folder, 1_000_000, lambda: 0.0)
+        holdings = ReplicaStore(self.folder, 1_000_000, lambda: 0.0)
         held = holdings.open("r0", 3, 1)
         for payload in payloads(self.entry(1)):
             holdings.record(held, 0, payload)
@@ -357,7 +368,7 @@
         self.assertEqual((found.deadline, found.attempts[0].sent_at), (49_300.0, 9_300.0))
 
     def test_past_the_bound_a_part_is_given_up_whole_and_not_claimed_from_here(self) -> None:
-        holdings = Holdings(self.folder, 20_000, lambda: 0.0)
+        holdings = ReplicaStore(self.folder, 20_000, lambda: 0.0)
         held = holdings.open("r0", 3, 1)
         with self.assertRaises(NoRoom):
             for number in range(100):
@@ -366,7 +377,7 @@
         held.give_up(0)
         self.assertEqual(len(held), 0)
         holdings.close()
-        again = Holdings(self.folder, 20_000, lambda: 0.0).open("r0", 3, 1)
+        again = ReplicaStore(self.folder, 20_000, lambda: 0.0).open("r0", 3, 1)
         self.assertEqual(again.name, held.name)
         self.assertEqual(again.gave_up, {0})
         again.begin(0)
@@ -377,7 +388,7 @@
         for name, text in (("r0.1", "{"), ("r0.x", '{"name": "a", "parts": 1}'), ("stray", "")):
             (self.folder / name).mkdir()
             (self.folder / name / "held").write_text(text)
-        self.assertEqual(len(Holdings(self.folder, 20_000, lambda: 0.0)), 0)
+        self.assertEqual(len(ReplicaStore(self.folder, 20_000, lambda: 0.0)), 0)
         self.assertEqual(list(self.folder.iterdir()), [])
 
     def test_an_origin_is_kept_and_an_unknown_kind_is_skipped(self) -> None:
--- a/tests/takeover/test_frames.py
+++ b/tests/failover/test_frames.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from calicohitch.takeover import frames
-from calicohitch.takeover.frames import LONGEST, Ack, BadFrame, Beat, Begin, Hello, Reader, Record, Whole, encode
+from calicohitch.failover import frames
+from calicohitch.failover.frames import LONGEST, Ack, BadFrame, Beat, Begin, Hello, Reader, Record, Whole, encode
 
 ALL: list[frames.Frame] = [
     Hello(1, "f", "r0", 3, 4, "r1", 12.5),
--- a/tests/takeover/test_membership.py
+++ b/tests/failover/test_membership.py
@@ -15,11 +15,11 @@
 from calicohitch.config.platform import Address
 from calicohitch.fleet.membership import Membership
 from calicohitch.fleet.memory_store import MemoryStore
-from calicohitch.fleet.proof import Proof, Term
+from calicohitch.fleet.lease_validity import LeaseValidity, LeaseTerm
 from calicohitch.fleet.records import Keys, Member
 from calicohitch.fleet.settings import FleetSettings
 from calicohitch.fleet.store import Seen
-from calicohitch.fleet.tenure import Tenure
+from calicohitch.fleet.ownership import Ownership
 from calicohitch.recovery.problems import NameTaken
 
 KEYS = Keys("test")
@@ -65,7 +65,12 @@
         place = self.folder / (folder or name)
         place.mkdir(exist_ok=True)
         return Membership(
-            self.store, Tenure(KEYS, name, 2, Member(0, 1, f"{name}:1")), Proof(Term(600.0, 50.0)), place, SETTINGS, now
+            self.store,
+            Ownership(KEYS, name, 2, Member(0, 1, f"{name}:1")),
+            LeaseValidity(LeaseTerm(600.0, 50.0)),
+            place,
+            SETTINGS,
+            now,
         )
 
     @in_loop
--- a/tests/takeover/test_model.py
+++ b/tests/failover/test_model.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from takeover.model import Disk, World
+from failover.model import Disk, World
 
 NAMES = "abc"
 EXAMPLES = int(os.environ.get("MODEL_EXAMPLES", "80"))
--- a/tests/takeover/test_model_mutants.py
+++ b/tests/failover/test_model_mutants.py
@@ -12,11 +12,11 @@
 from typing import Any
 from unittest import mock
 
-from calicohitch.fleet.proof import Proof, Term
-from calicohitch.fleet.tenure import Taken, Tenure
-from calicohitch.takeover.claims import Claims
-from calicohitch.takeover.copying import Copying
-from takeover.test_model import NAMES, STEPS, Schedule
+from calicohitch.fleet.lease_validity import LeaseValidity, LeaseTerm
+from calicohitch.fleet.ownership import Taken, Ownership
+from calicohitch.failover.claims import Claims
+from calicohitch.failover.copying import Replication
+from failover.test_model import NAMES, STEPS, Schedule
 
 SEEDS = int(os.environ.get("MODEL_SEEDS", "25"))
 LENGTH = 150
@@ -30,7 +30,7 @@
     return schedule
 
 
-def by_any(self: Proof, holders: Any) -> float:
+def by_any(self: LeaseValidity, holders: Any) -> float:
     held = max((self._heard.get(holder, -math.inf) for holder in holders), default=math.inf)
     return max(self._renewed, held) + self._term.believed
 
@@ -44,15 +44,15 @@
 
 MUTANTS: dict[str, Callable[[], Any]] = {
     "a lease is believed for twice its time": lambda: mock.patch.object(
-        Term, "believed", property(lambda self: 2 * self.ttl)
+        LeaseTerm, "believed", property(lambda self: 2 * self.ttl)
     ),
-    "one holder that heard is enough": lambda: mock.patch.object(Proof, "until", by_any),
+    "one holder that heard is enough": lambda: mock.patch.object(LeaseValidity, "until", by_any),
     "holders do not keep still": lambda: mock.patch.object(Claims, "opens_at", at_once),
-    "copies are not waited for": lambda: mock.patch.object(Copying, "is_safe", lambda self, number: True),
+    "copies are not waited for": lambda: mock.patch.object(Replication, "is_safe", lambda self, number: True),
     "a claimed folder is taken up": lambda: mock.patch.object(
-        Tenure, "_of_folder", lambda self, roster, kept, conditions, ops: Taken()
+        Ownership, "_of_folder", lambda self, roster, kept, conditions, ops: Taken()
     ),
-    "a passed tenure goes on": lambda: mock.patch.object(Tenure, "look", lambda self, roster: ""),
+    "a passed tenure goes on": lambda: mock.patch.object(Ownership, "look", lambda self, roster: ""),
 }
 
 
--- a/tests/faults/test_folder.py
+++ b/tests/faults/test_folder.py
@@ -15,11 +15,11 @@
 
 import anyio
 from test_process import Program, ending, exit_code
-from recovery.test_claim import Time
+from recovery.test_folder_lease import Time
 from world import World, in_world, play
 
 from calicohitch.journal import Entry, Journal
-from calicohitch.recovery.claim import EXPIRED_S, Watcher, claimed
+from calicohitch.recovery.folder_lease import EXPIRED_S, LeaseMonitor, claimed
 from calicohitch.recovery.problems import FolderLost, FolderProblem
 
 AWAY_S = 0.6
@@ -55,7 +55,7 @@
             ("unlink", errno.EIO),
         ):
             with self.subTest(call=name, error=errno.errorcode[error]):
-                Watcher(self.folder).look().close()  # type: ignore[union-attr]
+                LeaseMonitor(self.folder).look().close()  # type: ignore[union-attr]
                 with mock.patch.object(os, name, for_a_while(getattr(os, name), error)):
                     claim = anyio.run(claimed, self.folder, 5.0)
                 claim.check()
@@ -107,8 +107,8 @@
         self.folder = Path(made.name) / "state"
         self.mono, self.wall = Time(), Time(1_000.0)
 
-    def watcher(self) -> Watcher:
-        return Watcher(self.folder, self.mono, self.wall)
+    def watcher(self) -> LeaseMonitor:
+        return LeaseMonitor(self.folder, self.mono, self.wall)
 
     def test_a_claim_is_proved_without_the_disk(self) -> None:
         owner = self.watcher().look()
--- a/tests/faults/test_holdings.py
+++ b/tests/faults/test_holdings.py
@@ -13,7 +13,7 @@
 from unittest import mock
 
 from calicohitch.journal import Entry, Journal, payloads
-from calicohitch.takeover.holdings import Holdings, NoRoom
+from calicohitch.failover.holdings import ReplicaStore, NoRoom
 
 OWNERS_TIME = 5e12
 
@@ -22,18 +22,18 @@
     return Entry(number, f"m{number}", "orders", 7, OWNERS_TIME, "k", b"body")
 
 
-class Copies(unittest.TestCase):
+class Replicator(unittest.TestCase):
     def setUp(self) -> None:
         made = tempfile.TemporaryDirectory()
         self.addCleanup(made.cleanup)
         self.folder = Path(made.name) / "copies"
 
-    def holdings(self) -> Holdings:
-        found = Holdings(self.folder, 1_000_000, lambda: 1_000.0)
+    def holdings(self) -> ReplicaStore:
+        found = ReplicaStore(self.folder, 1_000_000, lambda: 1_000.0)
         self.addCleanup(found.close)
         return found
 
-    def held(self) -> Holdings:
+    def held(self) -> ReplicaStore:
         holdings = self.holdings()
         holding = holdings.open("r1", 3, 4)
         for payload in payloads(entry()):
--- a/tests/faults/test_refusals.py
+++ b/tests/faults/test_refusals.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from calicohitch.core.common_share import share_of
+from calicohitch.core.shared_limit import share_of
 
 SECOND = 1_000_000
 FIELDS = ("x0", "x1")
--- a/tests/faults/test_stored_state.py
+++ b/tests/faults/test_stored_state.py
@@ -10,8 +10,8 @@
 from typing import Any
 from unittest import mock
 
-from calicohitch.interface import Recalled
-from calicohitch.recovery.memory import Memory
+from calicohitch.interface import RestoredState
+from calicohitch.recovery.state_cache import StateCache
 
 
 class Killed(BaseException):
@@ -23,10 +23,10 @@
         """Two files are written in turn. Behind a failure the next write went to the one that was still good, so that a
         kill in it left none."""
         with tempfile.TemporaryDirectory() as made:
-            memory = Memory(Path(made), 1, ("orders",))
+            memory = StateCache(Path(made), 1, ("orders",))
 
             def keep(at: float) -> None:
-                memory.keep(at, Recalled((), ((1, 2),)), str, "d", int(at), list)
+                memory.keep(at, RestoredState((), ((1, 2),)), str, "d", int(at), list)
 
             keep(1e12)
             real, last = os.write, [False]
@@ -42,7 +42,7 @@
                 last[0] = True
                 with self.assertRaises(Killed):
                     keep(1e12 + 4_000)
-            later = Memory(Path(made), 2, ("orders",))
+            later = StateCache(Path(made), 2, ("orders",))
             later.read(1e12 + 5_000, "d", -1)
             self.assertIsNotNone(later.found)
             assert later.found
--- a/tests/faults/test_sweep.py
+++ b/tests/faults/test_sweep.py
@@ -22,10 +22,10 @@
 from faults.system import ERRORS, FILES, SHORT, Failing, Nth
 
 from calicohitch.core.files import write_all
-from calicohitch.interface import Recalled
+from calicohitch.interface import RestoredState
 from calicohitch.journal import End, Entry, Journal, JournalFull
-from calicohitch.recovery.claim import Claim, Watcher
-from calicohitch.recovery.memory import Memory
+from calicohitch.recovery.folder_lease import FolderLease, LeaseMonitor
+from calicohitch.recovery.state_cache import StateCache
 from calicohitch.recovery.problems import FolderFailing
 
 MESSAGES = 22
@@ -87,17 +87,17 @@
     return Entry(number, f"m{number}", "orders", 7, 5e12 + number, "k", BODY)
 
 
-def began(folder: Path) -> tuple[Claim, Journal, Memory]:
+def began(folder: Path) -> tuple[FolderLease, Journal, StateCache]:
     """A start, made again while the folder refuses; as `service` does it."""
     problem: Exception | None = None
     for _ in range(TRIES):
-        claim: Claim | None = None
+        claim: FolderLease | None = None
         try:
-            claim = Watcher(folder).look()
+            claim = LeaseMonitor(folder).look()
             if claim is None:
                 raise Broken("the folder's owner is dead, and in the way")
             opened = Journal(folder, DISK, claim.life, claim.check, complete=True)
-            return claim, opened, Memory(folder, claim.life, ("orders",))
+            return claim, opened, StateCache(folder, claim.life, ("orders",))
         except (FolderFailing, OSError) as err:
             problem = err
             if claim:
@@ -113,7 +113,7 @@
         for _ in range(count):
             journal.taken(entry(journal.next_number))
         left = set(journal._home)
-        memory.keep(1e12, Recalled((), ((1, 2),)), str, "d", 1, list)
+        memory.keep(1e12, RestoredState((), ((1, 2),)), str, "d", 1, list)
         journal.close()
         claim.close()
     oldest = min(folder.glob("journal-*.log"))
@@ -138,7 +138,7 @@
             self._take(step)
             if step % 3 == 0:
                 self.claim.renew()
-                self.memory.keep(1e12 + step * 2_000.0, Recalled((), ((1, 2),)), str, "d", 1, list)
+                self.memory.keep(1e12 + step * 2_000.0, RestoredState((), ((1, 2),)), str, "d", 1, list)
             for number in sorted(self.known.taken)[-3:]:
                 self._try(number)
             self._end(step)
--- a/tests/fleet/mutants.py
+++ b/tests/fleet/mutants.py
@@ -91,17 +91,17 @@
 
 @_mutant("the folder is anybody's", "earlier life")
 def _claim() -> None:
-    from calicohitch.recovery.claim import Claim
+    from calicohitch.recovery.folder_lease import FolderLease
 
-    Claim.check = lambda self: None  # type: ignore[method-assign]
-    Claim.renew = lambda self: None  # type: ignore[method-assign]
+    FolderLease.check = lambda self: None  # type: ignore[method-assign]
+    FolderLease.renew = lambda self: None  # type: ignore[method-assign]
 
 
 @_mutant("a start knows no limit", "stampede")
 def _unpaced() -> None:
-    from calicohitch.core.share import Share
+    from calicohitch.core.limit_share import LimitShare
 
-    Share.suppose = lambda self, now, limit: None  # type: ignore[method-assign]
+    LimitShare.suppose = lambda self, now, limit: None  # type: ignore[method-assign]
 
 
 @_mutant("keys are remembered for ever", "repeat")
@@ -115,6 +115,6 @@
 
 @_mutant("keys are remembered for ever by the decisions alone", "invariant")
 def _decided_window() -> None:
-    from calicohitch.state import Message
+    from calicohitch.decision_state import Message
 
     Message.key_until = lambda self: 1 << 62  # type: ignore[method-assign]
--- a/tests/fleet/takeover_scenarios.py
+++ b/tests/fleet/takeover_scenarios.py
@@ -80,9 +80,9 @@
     "outcome recorded": ("calicohitch.journal", "Journal", "outcome", False),
     "end recorded": ("calicohitch.journal", "Journal", "end", False),
     "closed": ("calicohitch.journal", "Journal", "closed", False),
-    "claim sent": ("calicohitch.takeover.claims", "Claims", "claim", False),
+    "claim sent": ("calicohitch.failover.claims", "Claims", "claim", False),
     "journaled for another": ("calicohitch.net.relay", "Relay", "take_up", False),
-    "adoption sent": ("calicohitch.takeover.claims", "Claims", "adopted", False),
+    "adoption sent": ("calicohitch.failover.claims", "Claims", "adopted", False),
     "adopted": ("calicohitch.net.relay", "Relay", "confirm", True),
     "confirmed": ("calicohitch.net.relay", "Relay", "confirm", False),
 }
--- a/tests/fleet/test_takeovers.py
+++ b/tests/fleet/test_takeovers.py
@@ -15,8 +15,8 @@
 
 from calicohitch.commands.fleet import command
 from calicohitch.journal import Attempt, Entry, Journal, Origin
-from calicohitch.takeover.holdings import Holdings
-from calicohitch.takeover.looking import traces
+from calicohitch.failover.holdings import ReplicaStore
+from calicohitch.failover.looking import traces
 
 PLAYED = {  # scenario -> seeds; the steps of a message's life and of a claim go by the seed
     "killed_at_a_step": (1, 4),
@@ -90,7 +90,7 @@
             journal.taken(Entry(1, "m", "orders", 7, 5e12, "k", b"body", [Attempt(1.0, 0)]))
             journal.origin(1, Origin("r9", 4, 2))
             journal.closed(1)
-            holdings = Holdings(folder / "copies", 1e6, lambda: 0.0)  # type: ignore[arg-type]
+            holdings = ReplicaStore(folder / "copies", 1e6, lambda: 0.0)  # type: ignore[arg-type]
             holdings.open("r/9", 4, 2)
             before = sorted((path, path.stat().st_mtime_ns) for path in folder.rglob("*"))
             (found,) = traces(folder, "m")
--- a/tests/grpc_/test_codec.py
+++ b/tests/grpc_/test_codec.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from calicohitch.core.memory import CallMemory
+from calicohitch.core.call_history import CallHistory
 from calicohitch.grpc.codec import (
     CodecError,
     Deframer,
@@ -238,7 +238,7 @@
         def entry(number: int, deadline: float, *attempts: Attempt) -> Entry:
             return Entry(number, f"e{number}", "orders", 7, deadline, "k", b"x", list(attempts))
 
-        memory = CallMemory(2)
+        memory = CallHistory(2)
         ran, never = Attempt(1_000.0, 0), Attempt(1_000.0, 0, may_have_run=False)
         self.assertEqual(memory.keep(entry(1, 2_000.0, never), 6_000.0, 1_500.0), [1])
         self.assertEqual(memory.keep(entry(2, 2_000.0, ran), 6_000.0, 1_500.0), [])
--- a/tests/grpc_/test_mixed.py
+++ b/tests/grpc_/test_mixed.py
@@ -12,7 +12,7 @@
 
 import anyio
 import grpc
-from calicohitch.core.seam import Result
+from calicohitch.core.protocols import Result
 from calicohitch.interface import Outcome, Send
 from calicohitch.net.discovery import Member
 from calicohitch.net.relay import Relay
--- a/tests/intake/test_admission.py
+++ b/tests/intake/test_admission.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from calicohitch.intake.admission.keeping import Keeping
-from calicohitch.core.leases import Holder, Leases, shared_out
+from calicohitch.core.descriptor_budget import DescriptorUse, DescriptorBudget, shared_out
 from calicohitch.intake.admission.load import Load, LoadLimits
 from calicohitch.intake.admission.queue import FairQueue
 from calicohitch.intake.admission.shares import HALF_LIFE_MS, Caps, Shares, Trusted, Verdict
@@ -81,24 +81,24 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.leases = Leases(12, {Holder.CALLS: 4, Holder.NOTICES: 1})
+        self.leases = DescriptorBudget(12, {DescriptorUse.CALLS: 4, DescriptorUse.NOTICES: 1})
 
-    @rule(holder=st.sampled_from(Holder))
-    def take(self, holder: Holder) -> None:
+    @rule(holder=st.sampled_from(DescriptorUse))
+    def take(self, holder: DescriptorUse) -> None:
         free = self.leases.free_for(holder)
         assert self.leases.take(holder) is (free > 0)
 
     @precondition(lambda self: self.leases.held.total())
     @rule(data=st.data())
     def give_back(self, data: st.DataObject) -> None:
-        self.leases.give_back(data.draw(st.sampled_from([h for h in Holder if self.leases.held[h]])))
+        self.leases.give_back(data.draw(st.sampled_from([h for h in DescriptorUse if self.leases.held[h]])))
 
     @invariant()
     def bounds_hold(self) -> None:
         leases = self.leases
         assert leases.held.total() <= leases.total
-        assert leases.held[Holder.CALLS] >= 4 or leases.free_for(Holder.CALLS)
-        assert leases.held[Holder.NOTICES] >= 1 or leases.free_for(Holder.NOTICES)
+        assert leases.held[DescriptorUse.CALLS] >= 4 or leases.free_for(DescriptorUse.CALLS)
+        assert leases.held[DescriptorUse.NOTICES] >= 1 or leases.free_for(DescriptorUse.NOTICES)
 
 
 class Shared(unittest.TestCase):
@@ -106,14 +106,14 @@
         for sockets, grpc in ((384, 0), (1_024, 256), (4_096, 1_024)):
             leases = shared_out(sockets, grpc)
             self.assertEqual(leases.total, sockets)
-            self.assertEqual(leases.free_for(Holder.CLIENTS), sockets // 2)
-            self.assertEqual(leases.free_for(Holder.CALLS), sockets - sockets // 2 - 24 - grpc)
-            while leases.take(Holder.CLIENTS):
+            self.assertEqual(leases.free_for(DescriptorUse.CLIENTS), sockets // 2)
+            self.assertEqual(leases.free_for(DescriptorUse.CALLS), sockets - sockets // 2 - 24 - grpc)
+            while leases.take(DescriptorUse.CLIENTS):
                 pass
-            self.assertTrue(leases.take(Holder.CALLS) and leases.take(Holder.NOTICES))
+            self.assertTrue(leases.take(DescriptorUse.CALLS) and leases.take(DescriptorUse.NOTICES))
             self.assertIn(f"clients {sockets // 2}", leases.told())
-        self.assertRaises(ValueError, Leases(1, {}).give_back, Holder.CALLS)
-        self.assertRaises(ValueError, Leases, 1, {Holder.CALLS: 2})
+        self.assertRaises(ValueError, DescriptorBudget(1, {}).give_back, DescriptorUse.CALLS)
+        self.assertRaises(ValueError, DescriptorBudget, 1, {DescriptorUse.CALLS: 2})
 
 
 Budget.TestCase.settings = settings(max_examples=60, stateful_step_count=40, deadline=None, derandomize=True)
--- a/tests/intake/test_clients.py
+++ b/tests/intake/test_clients.py
@@ -19,8 +19,8 @@
 from world import LIMIT, World, in_world, member, until
 
 from calicohitch.commands import main
-from calicohitch.core.leases import Holder
-from calicohitch.core.seam import Refusal
+from calicohitch.core.descriptor_budget import DescriptorUse
+from calicohitch.core.protocols import Refusal
 from calicohitch.intake.admission.settings import AdmissionSettings
 from calicohitch.intake.admission.shares import Caps
 from calicohitch.journal import End
@@ -79,7 +79,9 @@
             await until(lambda: relay.idle)
             held = relay.leases.held
             idle = sum(map(len, relay._endpoints._idle.values()))
-            self.assertEqual((held[Holder.CLIENTS], held[Holder.CALLS], held[Holder.DISCOVERY]), (0, idle, 1))
+            self.assertEqual(
+                (held[DescriptorUse.CLIENTS], held[DescriptorUse.CALLS], held[DescriptorUse.DISCOVERY]), (0, idle, 1)
+            )
 
     @in_world
     async def test_a_script_behind_the_gateway_as_well(self, world: World) -> None:
--- a/tests/orders/test_attempts.py
+++ b/tests/orders/test_attempts.py
@@ -13,8 +13,8 @@
 
 from calicohitch.clock import Clock
 from calicohitch.config import Address
-from calicohitch.core.leases import Holder, Leases
-from calicohitch.core.seam import Call, Result
+from calicohitch.core.descriptor_budget import DescriptorUse, DescriptorBudget
+from calicohitch.core.protocols import Call, Result
 from calicohitch.interface import Outcome
 from calicohitch.net.endpoints import Endpoints
 from calicohitch.net.http import ClientConnection, Link, listen
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self.listener = listen(HERE)
         self.address = Address(*self.listener.getsockname())
-        self.endpoints = Endpoints(Clock(), (), 10_000, 1_500, Leases(8, {}))
+        self.endpoints = Endpoints(Clock(), (), 10_000, 1_500, DescriptorBudget(8, {}))
         self.result: Result | None = None
 
     async def call(
@@ -48,7 +48,7 @@
 
     @property
     def kept(self) -> int:
-        return self.endpoints._leases.held[Holder.CALLS]
+        return self.endpoints._leases.held[DescriptorUse.CALLS]
 
 
 async def served_once(world: Scripted) -> Link:
@@ -392,10 +392,10 @@
             await world.hand_in("a1")
             await until(lambda: world.endpoint.requests)
             world.change(member(str(world.endpoint.address), phase="Terminating"))
-            await until(lambda: not relay._sender._endpoints)
+            await until(lambda: not relay._engine._endpoints)
             release.set()
             await until(lambda: relay.idle)
-            self.assertEqual(relay._endpoints._leases.held[Holder.CALLS], 0)
+            self.assertEqual(relay._endpoints._leases.held[DescriptorUse.CALLS], 0)
             self.assertEqual(world.notices, [])
 
     @in_world
--- a/tests/orders/test_list.py
+++ b/tests/orders/test_list.py
@@ -14,7 +14,7 @@
 from calicohitch.config import Address
 from calicohitch.config.settings import Names
 from calicohitch.core.backoff import Backoff
-from calicohitch.core.patience import WATCH_MS, Patience
+from calicohitch.core.discovery_timeouts import WATCH_MS, DiscoveryTimeouts
 from calicohitch.interface import Phase
 from calicohitch.net.discovery import Directory, ListError
 from calicohitch.net.http import KeptConnection, Moved
@@ -29,7 +29,7 @@
 
     def asked_after(self, pushed: bool, couriers: int, seed: int, silent: int) -> float:
         """A watch is asked just as the silence begins; so many connections in all are met by it."""
-        patience = Patience(not pushed, Backoff(couriers, seed))
+        patience = DiscoveryTimeouts(not pushed, Backoff(couriers, seed))
         now = 0.0
         for _ in range(silent):
             now += patience.limit_s(patience.wait_ms(at_once=False))
@@ -49,13 +49,13 @@
 
     def test_in_a_silence_that_lasts_an_agent_is_never_left_alone_for_long(self) -> None:
         for couriers in FLEETS:
-            patience = Patience(False, Backoff(couriers, couriers))
+            patience = DiscoveryTimeouts(False, Backoff(couriers, couriers))
             for _ in range(100):
                 self.assertLessEqual(patience.pause_s(silent=True), 0.2)
                 self.assertLessEqual(patience.limit_s(patience.wait_ms(at_once=False)), 0.8)
 
     def test_who_was_answered_waits_for_news_again(self) -> None:
-        patience = Patience(False, Backoff(3, 1))
+        patience = DiscoveryTimeouts(False, Backoff(3, 1))
         patience.pause_s(silent=True)
         patience.answered()
         self.assertEqual(patience.wait_ms(at_once=False), WATCH_MS)
@@ -73,7 +73,7 @@
             return await kept(request)
 
         world.platform.handle = discovery
-        with mock.patch("calicohitch.core.patience.WATCH_MS", 200):
+        with mock.patch("calicohitch.core.discovery_timeouts.WATCH_MS", 200):
             async with world.relay(settings=SETTINGS | {"balancers": 200}):
                 await until(lambda: len(asked) > 1)
                 world.change(member(str(world.endpoint.address), phase="Terminating"))
@@ -221,7 +221,7 @@
         world.platform.handle, world.revision = discovery, 5
         async with world.relay() as relay:
             await until(lambda: relay._directory.number("s-1") is None)
-            self.assertEqual(relay._sender._endpoints, {})
+            self.assertEqual(relay._engine._endpoints, {})
 
 
 class Lines(unittest.TestCase):
--- a/tests/orders/test_restart.py
+++ b/tests/orders/test_restart.py
@@ -233,7 +233,7 @@
             with mock.patch.object(relay._journal, "attempt", side_effect=TypeError("not foreseen")):
                 await world.hand_in("m0", path="/scores", Req_Deadline_Ms="1300")
                 await until(lambda: world.notices)
-            self.assertEqual(relay._sender._slots_taken, 0)
+            self.assertEqual(relay._engine._slots_taken, 0)
             await world.hand_in("m1", path="/scores")
             await until(lambda: world.endpoint.requests)
 
@@ -273,26 +273,26 @@
             def breaks(event: i.Withdrawn) -> None:
                 raise IndexError
 
-            with mock.patch.object(relay._sender, "_withdrawn", breaks), mock.patch.object(relay, "feed", behind):
+            with mock.patch.object(relay._engine, "_withdrawn", breaks), mock.patch.object(relay, "feed", behind):
                 release.set()
                 await until(lambda: relay.idle)
-                self.assertEqual(relay._sender._slots_taken, 0)
+                self.assertEqual(relay._engine._slots_taken, 0)
 
     @in_world
     async def test_a_send_of_a_message_that_is_not_there_gives_its_slot_back(self, world: World) -> None:
         async with world.relay() as relay:
             relay.feed(i.Arrived(99, 1, 7, 3_000_000))  # the decisions have it, and the relay does not
-            await until(lambda: 99 not in relay._sender._open)
-            self.assertEqual((relay._sender._slots_taken, world.endpoint.requests), (0, []))
+            await until(lambda: 99 not in relay._engine._open)
+            self.assertEqual((relay._engine._slots_taken, world.endpoint.requests), (0, []))
 
     @in_world
     async def test_what_was_decided_before_the_decisions_broke_is_carried_out(self, world: World) -> None:
         async with world.relay() as relay:
-            with mock.patch.object(relay._sender, "_arm", side_effect=IndexError):
+            with mock.patch.object(relay._engine, "_arm", side_effect=IndexError):
                 await world.hand_in("m0", path="/scores")
                 await until(lambda: world.endpoint.requests)
                 await until(lambda: relay.idle)
-            self.assertEqual((relay._sender._slots_taken, world.notices), (0, []))
+            self.assertEqual((relay._engine._slots_taken, world.notices), (0, []))
 
     @in_world
     async def test_an_outcome_that_cannot_be_written_is_told_all_the_same(self, world: World) -> None:
@@ -301,7 +301,7 @@
             with mock.patch.object(relay._journal, "outcome", side_effect=TypeError("not foreseen")):
                 await world.hand_in("m0", path="/scores")
                 await until(lambda: relay.idle)
-            self.assertEqual(relay._sender._slots_taken, 0)
+            self.assertEqual(relay._engine._slots_taken, 0)
         self.assertEqual(len(world.endpoint.requests), 2)
 
 
@@ -317,7 +317,7 @@
                 world.clock.advance(5_500)
                 await until(lambda: world.notices)
                 gate.opened.set()
-                await until(lambda: not relay._sender._slots_taken)
+                await until(lambda: not relay._engine._slots_taken)
         self.assertEqual(world.endpoint.requests, [])
 
     @in_world
@@ -330,7 +330,7 @@
                 await until(lambda: gate.waiting)
                 world.clock.advance(5_000)  # its time is up to the millisecond, and its end not told yet
                 gate.opened.set()
-                await until(lambda: not relay._sender._slots_taken)
+                await until(lambda: not relay._engine._slots_taken)
         self.assertEqual(world.endpoint.requests, [])
 
 
--- a/tests/orders/test_settings.py
+++ b/tests/orders/test_settings.py
@@ -12,7 +12,7 @@
 
 from calicohitch.config import ConfigError, parse
 from calicohitch.interface import Arrived, Effect, Listed, ListKind, ListTold, MessageClass, Refuse, Send, Settings
-from calicohitch.rules import Sender
+from calicohitch.decisions import DecisionEngine
 
 SERVICE = {"name": "orders", "effect": "keyed", "on_time": 2_500_000, "hard_limit": 24_000_000, "window": 6_000_000}
 
@@ -101,11 +101,11 @@
         for cap in (1, 2, 3):
             settings = Settings((MessageClass(Effect.SAFE, 10**6, 10**7),), slots=1, open_cap=cap, max_attempts=1)
             with self.subTest(cap=cap):
-                sender = Sender(settings, 1)
+                sender = DecisionEngine(settings, 1)
                 sender.handle(0, [ListTold(ListKind.FULL, 1, (Listed(1, 7),))])
                 actions = sender.handle(1, [Arrived(1, 0, 7, 10**7)])
                 self.assertEqual([type(a) for a in actions if isinstance(a, Send | Refuse)], [Send])
-                sender = Sender(settings, 1)
+                sender = DecisionEngine(settings, 1)
                 actions = sender.handle(1, [Arrived(1, 0, 7, 10**7)])  # held: nobody to send to yet
                 self.assertEqual([a for a in actions if isinstance(a, Refuse)], [])
 
--- a/tests/orders/test_shutdown.py
+++ b/tests/orders/test_shutdown.py
@@ -17,7 +17,7 @@
 from calicohitch.net import notices
 from calicohitch.net import relay as relay_module
 from calicohitch.net.http import Link, ServerConnection
-from calicohitch.core.seam import Submission
+from calicohitch.core.protocols import Submission
 
 HEAD = (
     b"POST /orders HTTP/1.1\r\nHost: r\r\nReq-Id: a1\r\nReq-Deadline-Ms: 5000\r\nEnvelope: dest=7\r\n"
--- a/tests/recovery/test_beliefs.py
+++ b/tests/recovery/test_cached_state.py
@@ -14,20 +14,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from calicohitch.interface import Recalled, RouteWas
+from calicohitch.interface import RestoredState, RestoredRoute
 from calicohitch.journal import Attempt, Entry
-from calicohitch.recovery import beliefs, clocks
-from calicohitch.recovery.beliefs import Beliefs, KnownRoute, Unbelievable, believe, decode, encode
+from calicohitch.recovery import cached_state, clocks
+from calicohitch.recovery.cached_state import CachedState, KnownRoute, InvalidCachedState, validate, decode, encode
 from calicohitch.recovery.clocks import Between, Moment, between
-from calicohitch.recovery.keeper import Keeper
-from calicohitch.recovery.memory import Memory
+from calicohitch.recovery.state_files import StateFiles
+from calicohitch.recovery.state_cache import StateCache
 
 WRITTEN = Moment(1_000_000.0, 50_000.0, "boot-1")
 MEMBER = {"id": "s-1", "host_port": "127.0.0.1:9", "cell": 7, "phase": "Ready"}
 
 
-def known(**changes: Any) -> Beliefs:
-    told = Beliefs(
+def known(**changes: Any) -> CachedState:
+    told = CachedState(
         WRITTEN,
         7,
         "127.0.0.1:8500",
@@ -69,8 +69,8 @@
         discovery: str = "127.0.0.1:8500",
         revision: int = 40,
         outlast: bool = False,
-    ) -> beliefs.Believed:
-        return believe(known(), at(passed, set_by), discovery, revision, ("orders", "scores"), outlast)
+    ) -> cached_state.ValidatedState:
+        return validate(known(), at(passed, set_by), discovery, revision, ("orders", "scores"), outlast)
 
     def test_each_part_has_an_age_beyond_which_it_is_not_believed(self) -> None:
         fresh = self.told(1_000.0)
@@ -78,13 +78,13 @@
         self.assertEqual(fresh.routes[0], KnownRoute(7, "", 80.0, 0.5, 2.0, True, 999_000.0, 0.0))
         self.assertEqual(fresh.on_time, {"orders": (90, 100)})
         self.assertFalse(fresh.rolled_back)
-        later = self.told(beliefs.HEALTH_MS + 1)
+        later = self.told(cached_state.HEALTH_MS + 1)
         self.assertEqual(later.routes[0], KnownRoute(7, "", 80.0, 0.5, 2.0))
         self.assertEqual([part for part, _, _ in later.left_out], ["health"])
-        old = self.told(beliefs.SHARE_MS + 1)
+        old = self.told(cached_state.SHARE_MS + 1)
         self.assertEqual((old.routes, old.on_time, old.rolled_back), ((), {}, True))
         self.assertEqual([part for part, _, _ in old.left_out], ["limits", "health", "on-time shares"])
-        self.assertEqual(self.told(beliefs.LIST_MS + 1).members, ())
+        self.assertEqual(self.told(cached_state.LIST_MS + 1).members, ())
 
     def test_a_stored_list_never_outweighs_a_newer_or_another_one(self) -> None:
         self.assertEqual(self.told(5.0, revision=41).left_out[0][2], "the configuration's is as new")
@@ -126,7 +126,7 @@
     def test_any_bytes_are_believed_whole_or_not_at_all(self, data: bytes) -> None:
         try:
             self.assertEqual(decode(data), known())
-        except Unbelievable:
+        except InvalidCachedState:
             pass
 
     def test_a_newer_format_is_not_believed(self) -> None:
@@ -135,7 +135,7 @@
 
         text = encode(known())[9:]
         newer = json.dumps(json.loads(text) | {"format": 9}).encode()
-        with self.assertRaisesRegex(Unbelievable, "format 9"):
+        with self.assertRaisesRegex(InvalidCachedState, "format 9"):
             decode(b"%08x " % zlib.crc32(newer) + newer)
 
 
@@ -149,7 +149,7 @@
         class Killed(BaseException):
             pass
 
-        keeper = Keeper(self.folder)
+        keeper = StateFiles(self.folder)
         old, new = encode(known()), encode(known(life=8))
         real = {name: getattr(os, name) for name in ("open", "write", "close")}
         for last in range(5):
@@ -171,12 +171,12 @@
                     keeper.write(new)
                 except Killed:
                     pass
-            read = Keeper(self.folder).read()
+            read = StateFiles(self.folder).read()
             assert read
             self.assertEqual(read.life, 8 if last >= 2 else 7)  # once it is written, closing it is no matter
 
     def test_a_disk_that_fills_keeps_what_was_there(self) -> None:
-        keeper = Keeper(self.folder)
+        keeper = StateFiles(self.folder)
         keeper.write(encode(known()))
         real, calls = os.write, iter((60, 0))
 
@@ -195,7 +195,7 @@
 
     def test_nothing_is_renamed_or_cut(self) -> None:
         """With a busy disk a rename over the old file held the relay for up to 1.2 s (ext4)."""
-        keeper = Keeper(self.folder)
+        keeper = StateFiles(self.folder)
         flags: list[int] = []
         real = os.open
         counted = mock.patch("os.open", lambda path, how, mode=0: flags.append(how) or real(path, how, mode))
@@ -204,12 +204,12 @@
                 keeper.write(encode(known(life=life)))
             keeper.write(encode(known(life=5, members=())))  # shorter than what it is written over
         self.assertFalse(any(how & os.O_TRUNC for how in flags))
-        read = Keeper(self.folder).read()
+        read = StateFiles(self.folder).read()
         assert read
         self.assertEqual((read.life, read.members), (5, ()))
         (newest,) = [path for path in self.folder.iterdir() if b'"life":5' in path.read_bytes()]
         newest.write_bytes(newest.read_bytes()[:40])  # torn: the one before holds
-        older = Keeper(self.folder).read()
+        older = StateFiles(self.folder).read()
         assert older
         self.assertEqual(older.life, 4)
 
@@ -217,30 +217,34 @@
         wall, mono = 1_000_000.0, mock.patch.object(clocks.time, "monotonic", side_effect=(50.0, 50.5))
         mono.start()
         self.addCleanup(mono.stop)
-        first = Memory(self.folder, 3, ("orders",))
+        first = StateCache(self.folder, 3, ("orders",))
         first.keep(
             wall,
-            Recalled((RouteWas(7, 4, (80.0, 0.5, 2.0), True, 999_000_000, 0),), ((9, 10),)),
+            RestoredState((RestoredRoute(7, 4, (80.0, 0.5, 2.0), True, 999_000_000, 0),), ((9, 10),)),
             lambda number: f"s-{number}",
             "127.0.0.1:8500",
             41,
             lambda: [dict(MEMBER)],
         )
-        second = Memory(self.folder, 4, ("orders",))
+        second = StateCache(self.folder, 4, ("orders",))
         second.read(wall + 500.0, "127.0.0.1:8500", 40)
         told = second.recalled({"s-4": 12}.get, wall + 500.0)
-        self.assertEqual(told, Recalled((RouteWas(7, 12, (80.0, 0.5, 2.0), True, 999_000_000, 0),), ((9, 10),)))
-        self.assertEqual(second.recalled({}.get, wall + 500.0), Recalled((), ((9, 10),)))  # the list does not name it
+        self.assertEqual(
+            told, RestoredState((RestoredRoute(7, 12, (80.0, 0.5, 2.0), True, 999_000_000, 0),), ((9, 10),))
+        )
+        self.assertEqual(
+            second.recalled({}.get, wall + 500.0), RestoredState((), ((9, 10),))
+        )  # the list does not name it
 
     def test_times_are_moved_with_the_clock_and_a_copy_of_long_ago_is_doubted(self) -> None:
         wall = 1_000_000.0
-        memory = Memory(self.folder, 3, ("orders",))
-        memory.keep(wall, Recalled((), ((0, 0),)), str, "127.0.0.1:8500", 41, list)
+        memory = StateCache(self.folder, 3, ("orders",))
+        memory.keep(wall, RestoredState((), ((0, 0),)), str, "127.0.0.1:8500", 41, list)
         later = clocks.now(0.0)
         for set_by, passed, doubtful in ((-90_000.0, 600.0, False), (90_000.0, 600.0, False), (0.0, 125_000.0, True)):
             with self.subTest(set_by=set_by, passed=passed):
                 entry = Entry(1, "m", "orders", 7, wall + 9_000.0, "k", b"", [Attempt(wall - 50.0, 0)])
-                second = Memory(self.folder, 4, ("orders",))
+                second = StateCache(self.folder, 4, ("orders",))
                 moment = Moment(wall + passed + set_by, later.mono + passed, later.boot)
                 with mock.patch.object(clocks, "now", lambda wall, moment=moment: moment):
                     second.read(moment.wall, "127.0.0.1:8500", -1)
@@ -252,14 +256,14 @@
     def test_what_cannot_be_read_costs_no_start(self) -> None:
         for name in ("beliefs-0", "beliefs-1"):
             (self.folder / name).write_bytes(b"\xff" * 50)
-        memory = Memory(self.folder, 3, ("orders",))
+        memory = StateCache(self.folder, 3, ("orders",))
         memory.read(1.0, "127.0.0.1:8500", -1)
         self.assertIsNone(memory.recalled({}.get, 1.0))
         for name in ("beliefs-0", "beliefs-1"):
             (self.folder / name).unlink()
             (self.folder / name).mkdir()
         memory.read(1.0, "127.0.0.1:8500", -1)
-        memory.keep(5_000.0, Recalled((), ((0, 0),)), str, "127.0.0.1:8500", 1, list)  # logged, and that is all
+        memory.keep(5_000.0, RestoredState((), ((0, 0),)), str, "127.0.0.1:8500", 1, list)  # logged, and that is all
 
 
 if __name__ == "__main__":
--- a/tests/recovery/test_corpus.py
+++ b/tests/recovery/test_corpus.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 
 from calicohitch.journal import Entry, Journal
-from calicohitch.recovery.beliefs import MOST_BYTES, Unbelievable, decode
-from calicohitch.recovery.keeper import Keeper
+from calicohitch.recovery.cached_state import MOST_BYTES, InvalidCachedState, decode
+from calicohitch.recovery.state_files import StateFiles
 
 CORPUS = Path(__file__).parent / "corpus"
 FILES = sorted(CORPUS.glob("*.log"))
@@ -98,16 +98,16 @@
 
     def test_any_damage_to_what_is_believed_is_seen_or_leaves_it_believable(self) -> None:
         draw = random.Random(18)
-        keeper = Keeper(self.folder)
+        keeper = StateFiles(self.folder)
         keeper.write(b"not beliefs")
-        with self.assertRaises(Unbelievable):
-            Keeper(self.folder).read()
+        with self.assertRaises(InvalidCachedState):
+            StateFiles(self.folder).read()
         for _ in range(300):
-            with self.assertRaises(Unbelievable):
+            with self.assertRaises(InvalidCachedState):
                 decode(draw.randbytes(draw.randrange(200)))
         (self.folder / "beliefs-0").write_bytes(b"%016x %08x " % (9, 3 * MOST_BYTES) + b"x")
-        with self.assertRaises(Unbelievable):
-            Keeper(self.folder).read()
+        with self.assertRaises(InvalidCachedState):
+            StateFiles(self.folder).read()
 
 
 if __name__ == "__main__":
--- a/tests/recovery/test_damage.py
+++ b/tests/recovery/test_damage.py
@@ -14,9 +14,9 @@
 
 from calicohitch.interface import Effect, MessageClass
 from calicohitch.journal import Attempt, End, Entry, Journal
-from calicohitch.recovery.doubts import end_of, missing_attempt
+from calicohitch.recovery.indeterminate import end_of, missing_attempt
 from calicohitch.recovery.problems import FolderNewer
-from calicohitch.recovery.salvage import Lost, Record, mend, records
+from calicohitch.recovery.repair import Lost, Record, mend, records
 
 KEYED = MessageClass(Effect.KEYED, aim=2_500_000, deadline=24_000_000, group="all", window=6_000_000)
 UNSAFE = MessageClass(Effect.UNSAFE, aim=2_500_000, deadline=24_000_000)
--- a/tests/recovery/test_claim.py
+++ b/tests/recovery/test_folder_lease.py
@@ -18,7 +18,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from calicohitch.journal import Journal, JournalFull
-from calicohitch.recovery.claim import EXPIRED_S, Claim, Watcher, claimed
+from calicohitch.recovery.folder_lease import EXPIRED_S, FolderLease, LeaseMonitor, claimed
 from calicohitch.recovery.problems import FolderInUse, FolderLost, FolderProblem
 from calicohitch.journal import Entry
 
@@ -38,10 +38,10 @@
         self.folder = Path(made.name) / "state"
         self.mono, self.wall = Time(), Time(1_000.0)
 
-    def watcher(self) -> Watcher:
-        return Watcher(self.folder, self.mono, self.wall)
+    def watcher(self) -> LeaseMonitor:
+        return LeaseMonitor(self.folder, self.mono, self.wall)
 
-    def began(self) -> Claim:
+    def began(self) -> FolderLease:
         claim = self.watcher().look()
         assert claim
         self.addCleanup(claim.close)
@@ -135,7 +135,7 @@
         file = self.folder.parent / "file"
         file.write_text("")
         with self.assertRaisesRegex(FolderProblem, "not a folder: move the file away"):
-            Watcher(file).look()
+            LeaseMonitor(file).look()
         for code, hint in (
             (errno.EROFS, "mount it writable"),
             (errno.EACCES, "may not write there"),
@@ -166,7 +166,7 @@
         for last in range(1, 40):
             with tempfile.TemporaryDirectory() as name:
                 folder = Path(name)
-                claim = Watcher(folder).look()
+                claim = LeaseMonitor(folder).look()
                 assert claim
                 journal = Journal(folder, 3e6, claim.life, claim.check)
                 kept = Entry(journal.next_number, "m", "orders", 7, 5e12, None, b"body")
@@ -190,7 +190,7 @@
                 held: list[int] = []
                 with mock.patch.multiple(os, **{each: counted(each) for each in real}):
                     try:
-                        second = Watcher(folder).look()
+                        second = LeaseMonitor(folder).look()
                         assert second
                         held.append(second._fd)
                         again = Journal(folder, 3e6, second.life, second.check)
@@ -201,7 +201,7 @@
                         pass
                 for fd in held:
                     os.close(fd)
-                third = Watcher(folder).look()
+                third = LeaseMonitor(folder).look()
                 assert third
                 self.assertGreater(third.life, claim.life)
                 found = Journal(folder, 3e6, third.life)
@@ -222,8 +222,8 @@
         self.made = tempfile.TemporaryDirectory()
         self.folder = Path(self.made.name)
         self.mono = Time()
-        self.watchers = [Watcher(self.folder, self.mono, Time(50.0)) for _ in range(3)]
-        self.claims: list[Claim] = []
+        self.watchers = [LeaseMonitor(self.folder, self.mono, Time(50.0)) for _ in range(3)]
+        self.claims: list[FolderLease] = []
         self.acted: list[tuple[float, int]] = []
 
     def teardown(self) -> None:
@@ -275,9 +275,9 @@
 
     def test_a_second_process_ends_with_a_line_and_a_code(self) -> None:
         code = (
-            "import sys, anyio; from pathlib import Path; from calicohitch.recovery import claim\n"
+            "import sys, anyio; from pathlib import Path; from calicohitch.recovery import folder_lease\n"
             "async def main():\n"
-            "    held = await claim.claimed(Path(sys.argv[1]), 0.3)\n"
+            "    held = await folder_lease.claimed(Path(sys.argv[1]), 0.3)\n"
             "    print('held', flush=True)\n"
             "    while not held.lost: held.renew(); await anyio.sleep(0.1)\n"
             "    print(held.lost, flush=True)\n"
@@ -293,7 +293,7 @@
                 self.assertIn(f"(process {first.pid})", second.stderr)
                 os.kill(first.pid, signal.SIGSTOP)
 
-                async def replaced() -> Claim:
+                async def replaced() -> FolderLease:
                     return await claimed(Path(name), EXPIRED_S + 3)
 
                 later = anyio.run(replaced)
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_recovery_phases.py
@@ -9,7 +9,7 @@
 import unittest
 from pathlib import Path
 
-from calicohitch.recovery.phases import LONGEST_MS, Did, Return
+from calicohitch.recovery.recovery_phases import LONGEST_MS, RecoveryCounter, Recovery
 from calicohitch.recovery.reading import fleet, read
 
 TEXT = [
@@ -24,48 +24,48 @@
 
 
 class Phases(unittest.TestCase):
-    def passed(self, back: Return, now: float) -> list[tuple[str, float]]:
+    def passed(self, back: Recovery, now: float) -> list[tuple[str, float]]:
         return [(one.phase.value, one.after) for one in back.news(now)]
 
     def test_each_is_told_once_with_its_time(self) -> None:
-        back = Return(1_000.0)
+        back = Recovery(1_000.0)
         back.folder(1_040.0, {5: 7, 6: 8}, 1)
         back.listed(1_070.0)
         self.assertEqual(self.passed(back, 1_100.0), [("up", 0.0), ("folder", 40.0), ("list", 70.0)])
         back.answered(1_200.0, 7)
-        back.did(1_200.0, Did.SERVED, 5)
+        back.did(1_200.0, RecoveryCounter.SERVED, 5)
         self.assertEqual(self.passed(back, 1_250.0), [])
         back.answered(1_300.0, 8)
         self.assertEqual(self.passed(back, 1_350.0), [("limits", 300.0)])
-        back.did(1_900.0, Did.REFUSED, 6)
+        back.did(1_900.0, RecoveryCounter.REFUSED, 6)
         self.assertEqual(self.passed(back, 1_950.0), [("backlog", 900.0), ("full", 900.0)])
         self.assertTrue(back.over)
-        back.did(9_000.0, Did.SERVED, 9)
+        back.did(9_000.0, RecoveryCounter.SERVED, 9)
         self.assertEqual(self.passed(back, 9_000.0), [])
 
     def test_a_relay_with_nothing_to_restore_waits_for_the_list_alone(self) -> None:
-        back = Return(0.0)
+        back = Recovery(0.0)
         back.folder(10.0, {}, 0)
         self.assertEqual([name for name, _ in self.passed(back, 11.0)], ["up", "folder", "backlog", "limits"])
         back.listed(400.0)
         self.assertEqual(self.passed(back, 500.0), [("list", 400.0), ("full", 400.0)])
 
     def test_what_is_done_is_counted_by_second(self) -> None:
-        back = Return(0.0)
+        back = Recovery(0.0)
         back.folder(10.0, {5: 7, 6: 7}, 0)
-        back.did(100.0, Did.FRESH)
-        back.did(200.0, Did.SERVED, 5)
-        back.did(2_300.0, Did.SERVED, 99)
+        back.did(100.0, RecoveryCounter.FRESH)
+        back.did(200.0, RecoveryCounter.SERVED, 5)
+        back.did(2_300.0, RecoveryCounter.SERVED, 99)
         back.news(3_100.0)
         self.assertEqual(back.seconds, [(0, {"fresh": 1, "restored": 1, "served": 1}), (2, {"served": 1})])
 
     def test_what_passed_before_anyone_asked_is_told_with_its_last_second(self) -> None:
         """A return that was over within the first look at it was never told."""
-        back = Return(0.0)
+        back = Recovery(0.0)
         back.folder(10.0, {5: 7}, 0)
         back.listed(20.0)
         back.answered(90.0, 7)
-        back.did(90.0, Did.SERVED, 5)
+        back.did(90.0, RecoveryCounter.SERVED, 5)
         self.assertTrue(back.over and not back.told)
         self.assertEqual(
             [name for name, _ in self.passed(back, 250.0)], ["up", "folder", "list", "limits", "backlog", "full"]
@@ -74,7 +74,7 @@
         self.assertTrue(back.told)
 
     def test_a_return_that_never_ends_is_told_as_it_stands(self) -> None:
-        back = Return(0.0)
+        back = Recovery(0.0)
         back.folder(10.0, {5: 7}, 0)
         back.news(11.0)
         (last,) = back.news(LONGEST_MS + 1)
--- a/tests/test_earlier_lives.py
+++ b/tests/test_earlier_lives.py
@@ -7,7 +7,7 @@
 from conftest import KEYED, SAFE, UNSAFE, Courier, sends
 
 from calicohitch import interface as i
-from calicohitch.rules import SECOND
+from calicohitch.decisions import SECOND
 
 
 class EarlierLives(unittest.TestCase):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,11 +11,11 @@
 
 from calicohitch import interface as i
 from calicohitch.core.backoff import Backoff
-from calicohitch.core.common_share import CommonShare
-from calicohitch.core.seam import Refusal
-from calicohitch.core.share import Share
+from calicohitch.core.shared_limit import SharedLimit
+from calicohitch.core.protocols import Refusal
+from calicohitch.core.limit_share import LimitShare
 from calicohitch.intake.submission import refusal
-from calicohitch.rules import SECOND
+from calicohitch.decisions import SECOND
 
 REPORTS = (i.Report("x0"), i.Report("x1"))
 STEP = 20 * MS
@@ -134,8 +134,8 @@
 
 
 class OneShare(unittest.TestCase):
-    def share(self, left: float, limit: float = 80.0) -> Share:
-        share = Share(40, ("x0", "x1"))
+    def share(self, left: float, limit: float = 80.0) -> LimitShare:
+        share = LimitShare(40, ("x0", "x1"))
         for n in range(10):
             share.told(1_000 * SECOND + n * SECOND, (left, limit), False)
         return share
@@ -143,7 +143,7 @@
     def test_what_is_left_sets_how_much_of_what_comes_is_sent(self) -> None:
         rates = []
         for left in (0.0, 0.2, 0.6, 1.0):
-            share = CommonShare(40, ("x0", "x1"))
+            share = SharedLimit(40, ("x0", "x1"))
             for n in range(40):  # four messages a second come, twice its equal part
                 share.came(1_000 * SECOND + n * SECOND // 4)
                 share.told(1_000 * SECOND + n * SECOND // 4, (left, 80.0), False)
@@ -154,7 +154,7 @@
         self.assertGreater(rates[3], 1.8 * rates[1])  # what was held meanwhile goes as well
 
     def test_refusals_that_come_together_count_as_one(self) -> None:
-        share = CommonShare(40, ("x0", "x1"))
+        share = SharedLimit(40, ("x0", "x1"))
         for n in range(20):
             share.came(n * SECOND // 4)
             share.told(n * SECOND // 4, (1.0, 80.0), False)
@@ -165,9 +165,9 @@
         share.told(7 * SECOND, (0.9, 80.0), True)
         self.assertLess(share._times, once)
 
-    def learned(self, times: float = 1.0) -> CommonShare:
+    def learned(self, times: float = 1.0) -> SharedLimit:
         """One of 200 that knows a limit of 200 a second and is told twice a second, as two messages come a second."""
-        share = CommonShare(200, ("x0", "x1"))
+        share = SharedLimit(200, ("x0", "x1"))
         for n in range(60):
             share.came(n * SECOND // 2)
             share.told(n * SECOND // 2, (0.5, 200.0), False)
@@ -199,7 +199,7 @@
 
     def test_the_lists_word_for_a_limit_holds_until_an_answer_tells_it(self) -> None:
         """After a restart no limit was known, and 562 calls were refused at one destination in a second."""
-        share = CommonShare(200, ("x0", "x1"))
+        share = SharedLimit(200, ("x0", "x1"))
         share.suppose(0, 100.0)
         for _ in range(40):  # what an earlier life left
             share.came(0)
@@ -216,7 +216,7 @@
         self.assertEqual(share.limit, 350.0)
         share.told(3 * SECOND, (0.0, 0.0), False)  # it has none
         self.assertEqual((share.limit, share.due()), (0.0, 0))
-        blind = CommonShare(200)  # no answer would ever tell
+        blind = SharedLimit(200)  # no answer would ever tell
         blind.suppose(0, 100.0)
         self.assertEqual(blind.limit, 0.0)
 
@@ -227,7 +227,7 @@
                 with self.subTest(couriers=couriers, recalled=recalled):
                     sent = 0
                     for _ in range(couriers):
-                        share = Share(couriers, ("x0", "x1"))
+                        share = LimitShare(couriers, ("x0", "x1"))
                         if recalled:
                             share.recall(100.0, 1.0, 0.0)
                         else:
@@ -264,7 +264,7 @@
         ):
             share.told(1_010 * SECOND, report, False)
         self.assertEqual(share.rate(), before)
-        nowhere = Share(40, ("x1",))
+        nowhere = LimitShare(40, ("x1",))
         nowhere.told(0, (9.0,), True)
         nowhere.sent(0)
         self.assertEqual((nowhere.rate(), nowhere.due()), (0.0, 0))
--- a/tests/test_limit_news.py
+++ b/tests/test_limit_updates.py
@@ -11,24 +11,24 @@
 from hypothesis import strategies as st
 
 from calicohitch import interface as i
-from calicohitch.core.common_share import CommonShare
-from calicohitch.core.limit_news import LimitNews
-from calicohitch.core.share import Share
-from calicohitch.rules import SECOND
+from calicohitch.core.shared_limit import SharedLimit
+from calicohitch.core.limit_updates import LimitUpdates
+from calicohitch.core.limit_share import LimitShare
+from calicohitch.decisions import SECOND
 
 REPORTS = (i.Report("x0"), i.Report("x1"))
 
 
-def known(limit: float = 100.0) -> CommonShare:
-    share = CommonShare(200, ("x0", "x1"))
+def known(limit: float = 100.0) -> SharedLimit:
+    share = SharedLimit(200, ("x0", "x1"))
     share.came(0)
     share.told(0, (0.5, limit), False)
     return share
 
 
-class News(unittest.TestCase):
+class ChangeNotifier(unittest.TestCase):
     def told(self, limit: float, before: float = 100.0, dest: int | None = 7) -> bytes:
-        news = LimitNews(1)
+        news = LimitUpdates(1)
         news.told(SECOND, dest, known(before), (0.5, limit), False)
         return news.due(2 * SECOND)
 
@@ -40,19 +40,19 @@
                 self.assertEqual(self.told(limit, dest=dest), b"")
 
     def test_a_first_answer_is_no_news_whatever_the_list_supposed(self) -> None:
-        news, share = LimitNews(1), CommonShare(200, ("x0", "x1"))
+        news, share = LimitUpdates(1), SharedLimit(200, ("x0", "x1"))
         share.suppose(0, 300.0)
         news.told(SECOND, 7, share, (0.5, 80.0), False)
         self.assertEqual(news.due(2 * SECOND), b"")
 
     def test_a_few_couriers_tell_nothing(self) -> None:
-        news, share = LimitNews(1), Share(3, ("x0", "x1"))
+        news, share = LimitUpdates(1), LimitShare(3, ("x0", "x1"))
         share.told(0, (0.5, 100.0), False)
         news.told(SECOND, 7, share, (0.5, 50.0), False)
         self.assertEqual(news.due(2 * SECOND), b"")
 
     def test_one_of_all_that_hear_it_tells_it_and_once_in_some_seconds(self) -> None:
-        notes, couriers = [], [LimitNews(seed) for seed in range(200)]
+        notes, couriers = [], [LimitUpdates(seed) for seed in range(200)]
         for news in couriers:
             news.told(SECOND, 7, known(), (0.5, 50.0), False)
         for now in range(SECOND, 4 * SECOND, 5 * MS):
@@ -69,21 +69,21 @@
         self.assertTrue(couriers[0].due(10 * SECOND))
 
     def test_many_destinations_share_notes_of_256_bytes(self) -> None:
-        news = LimitNews(1)
+        news = LimitUpdates(1)
         for dest in range(60):
             news.told(SECOND, dest, known(), (0.5, 50.0), False)
         note = news.due(2 * SECOND)
         self.assertLessEqual(len(note), 256)
-        self.assertEqual(len(LimitNews(2).heard(0, note)), 31)
+        self.assertEqual(len(LimitUpdates(2).heard(0, note)), 31)
 
     @given(st.binary(max_size=300))
     def test_any_bytes_are_read(self, note: bytes) -> None:
-        news = LimitNews(1)
+        news = LimitUpdates(1)
         for _, limit in news.heard(0, note):
             self.assertTrue(0 < limit < 1e9)
 
     def test_bad_notes_are_left_out(self) -> None:
-        news = LimitNews(1)
+        news = LimitUpdates(1)
         good = b"\x01" + struct.pack(">If", 7, 50.0)
         for note in (b"", b"\x02" + good[1:], good[:-1], good + b"x", good + good[1:] * 31):
             self.assertEqual(news.heard(0, note), [])
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 PACKAGE = Path(__file__).parents[1] / "calicohitch"
-RULES = PACKAGE / "rules.py"
+RULES = PACKAGE / "decisions.py"
 MOST_STATEMENTS = 470
 
 
@@ -28,7 +28,7 @@
 
 
 def test_only_the_standard_library_decides() -> None:
-    for path in (PACKAGE / name for name in ("interface.py", "rules.py", "state.py")):
+    for path in (PACKAGE / name for name in ("interface.py", "decisions.py", "decision_state.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Import):
                 assert all(name.name.split(".")[0] in sys.stdlib_module_names for name in node.names)
--- a/tests/test_long_queues.py
+++ b/tests/test_long_queues.py
@@ -8,7 +8,7 @@
 from conftest import KEYED, MS, SAFE, Courier, sends
 
 from calicohitch import interface as i
-from calicohitch import rules
+from calicohitch import decisions
 
 
 class LongQueues(unittest.TestCase):
@@ -21,7 +21,7 @@
 
     def test_a_freed_slot_ranks_a_few_messages_only(self) -> None:
         courier = self.crowded()
-        with mock.patch.object(rules, "penalty", wraps=rules.penalty) as ranked:
+        with mock.patch.object(decisions, "penalty", wraps=decisions.penalty) as ranked:
             self.assertEqual(len(sends(courier.wait(50 * MS, courier.outcome(1)))), 1)
         self.assertLess(ranked.call_count, 20)  # of the 595 that are held
 
--- a/tests/test_many_couriers.py
+++ b/tests/test_many_couriers.py
@@ -9,7 +9,7 @@
 from conftest import KEYED, MS, ORDERED, SAFE, UNSAFE, Courier, answers, sends
 
 from calicohitch import interface as i
-from calicohitch.rules import SECOND, Sender
+from calicohitch.decisions import SECOND, DecisionEngine
 
 
 TOLD = (i.Report("x0"), i.Report("x1"))
@@ -225,8 +225,8 @@
     courier.list(*(i.Listed(10 * dest, dest) for dest in range(1, 301)))
     courier.tell(*(courier.arrival(dest=dest) for dest in range(1, 301)))
     looked: list[object] = []
-    wake_of = Sender._wake_of
-    monkeypatch.setattr(Sender, "_wake_of", lambda self, dest: looked.append(dest) or wake_of(self, dest))
+    wake_of = DecisionEngine._wake_of
+    monkeypatch.setattr(DecisionEngine, "_wake_of", lambda self, dest: looked.append(dest) or wake_of(self, dest))
     courier.arrive(dest=7)
     courier.list(i.Listed(71, 7), kind=i.ListKind.DELTA)
     assert len(looked) == 2
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -6,7 +6,7 @@
 from conftest import CLASSES, KEYED, MS, SAFE, UNSAFE, Courier, answers, sends
 
 from calicohitch import interface as i
-from calicohitch.rules import SECOND, conformance, penalty
+from calicohitch.decisions import SECOND, conformance, penalty
 
 
 @pytest.mark.parametrize(
--- a/tests/test_partial_outages.py
+++ b/tests/test_partial_outages.py
@@ -8,7 +8,7 @@
 from conftest import MS, SAFE, Courier, sends
 
 from calicohitch import interface as i
-from calicohitch.rules import SECOND
+from calicohitch.decisions import SECOND
 
 
 def pair() -> Courier:
--- a/tests/test_relay_rules.py
+++ b/tests/test_relay_rules.py
@@ -17,8 +17,8 @@
 from calicohitch.config import Address
 from calicohitch.interface import Outcome
 from calicohitch.journal import End, Entry, Journal
-from calicohitch.core.leases import Holder, Leases
-from calicohitch.core.seam import Call, Refusal, Result, Submission
+from calicohitch.core.descriptor_budget import DescriptorUse, DescriptorBudget
+from calicohitch.core.protocols import Call, Refusal, Result, Submission
 from calicohitch.net.endpoints import Endpoints
 from calicohitch.net.http import Link, Request, listen
 
@@ -99,7 +99,7 @@
             ((410, {}, b""), Outcome.MOOT, True, 0),
             (None, Outcome.RESET, False, 0),
         ]
-        endpoints = Endpoints(world.clock, ("x0", "x1"), 10_000, 1_500, Leases(8, {}))
+        endpoints = Endpoints(world.clock, ("x0", "x1"), 10_000, 1_500, DescriptorBudget(8, {}))
 
         async def call(timeout: float = 5_000, wanted: bool = True) -> Result:
             told = Call("a1", None, b"x", timeout)
@@ -127,15 +127,15 @@
         async with anyio.create_task_group() as tasks:  # two connections, of which one is idle
             tasks.start_soon(call)
             await call()
-        self.assertEqual(endpoints._leases.held[Holder.CALLS], 2)
+        self.assertEqual(endpoints._leases.held[DescriptorUse.CALLS], 2)
         world.endpoint.handle = hang_once  # type: ignore[assignment]
         self.assertEqual((await call(30)).outcome, Outcome.TIMEOUT)
-        self.assertEqual(endpoints._leases.held[Holder.CALLS], 0)  # the idle one may be as dead as the other
+        self.assertEqual(endpoints._leases.held[DescriptorUse.CALLS], 0)  # the idle one may be as dead as the other
         self.assertEqual((await call(wanted=False)).outcome, Outcome.MOOT)
         endpoints.close_idle(1)
         world.endpoint.listener.close()
         self.assertEqual((await call()).outcome, Outcome.CONNECT_FAILED)
-        self.assertEqual(endpoints._leases.held[Holder.CALLS], 0)
+        self.assertEqual(endpoints._leases.held[DescriptorUse.CALLS], 0)
 
     @in_world
     async def test_a_spoilt_answer_is_believed_only_by_a_first_line_of_200(self, world: World) -> None:
@@ -179,7 +179,7 @@
                     await link.send(answer)  # and the connection stays open
 
         links: list[Link] = []
-        endpoints = Endpoints(world.clock, ("x0", "x1"), 10_000, 1_500, Leases(8, {}))
+        endpoints = Endpoints(world.clock, ("x0", "x1"), 10_000, 1_500, DescriptorBudget(8, {}))
         with listen(HERE) as listener, mock.patch("calicohitch.net.http._REST_S", 0.05):
             address = Address(*listener.getsockname())
             async with anyio.create_task_group() as tasks:
@@ -188,7 +188,9 @@
                     with self.subTest(answer=answer[:80]):
                         call = Call("a1", None, b"x", 5_000)
                         result = await endpoints.call(1, address, call, anyio.CancelScope(), lambda: True)
-                        self.assertEqual((result.outcome, endpoints._leases.held[Holder.CALLS]), (outcome, int(kept)))
+                        self.assertEqual(
+                            (result.outcome, endpoints._leases.held[DescriptorUse.CALLS]), (outcome, int(kept))
+                        )
                         endpoints.close_idle(1)
                 tasks.cancel_scope.cancel()
             for link in links:
@@ -196,7 +198,7 @@
 
     @in_world
     async def test_a_break_on_a_kept_connection_is_told_apart(self, world: World) -> None:
-        endpoints = Endpoints(world.clock, (), 10_000, 1_500, Leases(8, {}))
+        endpoints = Endpoints(world.clock, (), 10_000, 1_500, DescriptorBudget(8, {}))
         for answers, stale in (([None], False), ([(200, {}, b""), None], True)):
             with self.subTest(answers=answers):
                 world.answers = list(answers)  # type: ignore[arg-type]
@@ -208,19 +210,19 @@
     @in_world
     async def test_no_endpoint_is_blamed_where_no_descriptor_is_left(self, world: World) -> None:
         call = Call("a1", None, b"x", 5_000)
-        endpoints = Endpoints(world.clock, (), 10_000, 50, Leases(0, {}))
+        endpoints = Endpoints(world.clock, (), 10_000, 50, DescriptorBudget(0, {}))
         result = await endpoints.call(1, world.endpoint.address, call, anyio.CancelScope(), lambda: True)
         self.assertEqual(result.outcome, Outcome.MOOT)
-        endpoints = Endpoints(world.clock, (), 10_000, 50, Leases(8, {}))
+        endpoints = Endpoints(world.clock, (), 10_000, 50, DescriptorBudget(8, {}))
         with mock.patch("socket.socket", side_effect=OSError(errno.EMFILE, "too many open files")):
             result = await endpoints.call(1, world.endpoint.address, call, anyio.CancelScope(), lambda: True)
-        self.assertEqual((result.outcome, endpoints._leases.held[Holder.CALLS]), (Outcome.MOOT, 0))
+        self.assertEqual((result.outcome, endpoints._leases.held[DescriptorUse.CALLS]), (Outcome.MOOT, 0))
 
     @in_world
     async def test_a_connection_to_what_has_gone_serves_nobody_else(self, world: World) -> None:
         async with world.relay() as relay:
             await world.hand_in("a1")
-            await until(lambda: relay.idle and relay._endpoints._leases.held[Holder.CALLS])
+            await until(lambda: relay.idle and relay._endpoints._leases.held[DescriptorUse.CALLS])
             world.change(member(str(world.endpoint.address), "s-2"))
             await until(lambda: relay._directory.get(2))
             await world.hand_in("a2")
@@ -230,13 +232,13 @@
     @in_world
     async def test_idle_connections_are_closed_before_the_endpoint_does(self, world: World) -> None:
         clock = ManualClock()
-        endpoints = Endpoints(clock, (), 10_000, 1_500, Leases(8, {}))
+        endpoints = Endpoints(clock, (), 10_000, 1_500, DescriptorBudget(8, {}))
         call = Call("a1", None, b"x", 5_000)
         await endpoints.call(1, world.endpoint.address, call, anyio.CancelScope(), lambda: True)
         for step, left in ((8_900, 1), (200, 0)):
             clock.advance(step)
             endpoints.close_old()
-            self.assertEqual(endpoints._leases.held[Holder.CALLS], left)
+            self.assertEqual(endpoints._leases.held[DescriptorUse.CALLS], left)
 
     @in_world
     async def test_a_timed_out_attempt_is_over_before_the_next_begins(self, world: World) -> None:
@@ -270,7 +272,7 @@
     async def test_nothing_new_goes_to_an_endpoint_that_drains(self, world: World) -> None:
         async with world.relay() as relay:
             world.change(member(str(world.endpoint.address), phase="Terminating"))
-            await until(lambda: not relay._sender._endpoints)
+            await until(lambda: not relay._engine._endpoints)
             await world.hand_in(Req_Deadline_Ms="1400")
             await until(lambda: world.notices)
         self.assertEqual(world.endpoint.requests, [])
@@ -307,17 +309,17 @@
         world.platform.handle = fails_often  # type: ignore[assignment]
         async with world.relay() as relay:
             await until(lambda: asked > 4)
-            self.assertEqual(len(relay._sender._endpoints), 1)
+            self.assertEqual(len(relay._engine._endpoints), 1)
 
 
 class Faults(unittest.TestCase):
     @in_world
     async def test_a_fault_in_the_decisions_or_a_task_does_not_end_the_relay(self, world: World) -> None:
         async with world.relay() as relay:
-            with mock.patch.object(relay._sender, "handle", side_effect=IndexError):
+            with mock.patch.object(relay._engine, "handle", side_effect=IndexError):
                 await world.hand_in("lost", Req_Deadline_Ms="200")
                 await until(lambda: world.notices)  # its end is owed all the same
-            with mock.patch.object(relay._sender, "handle", return_value=[i.Send(99, 1), i.SetTimer(1, 1)]):
+            with mock.patch.object(relay._engine, "handle", return_value=[i.Send(99, 1), i.SetTimer(1, 1)]):
                 relay.feed(i.Rang(0))  # a send of a message that is not there
                 self.assertEqual(len(relay._timers), 1)
             with mock.patch.object(relay._directory, "read", side_effect=RuntimeError):
@@ -326,7 +328,7 @@
             await world.hand_in("a2")
             await until(lambda: world.endpoint.requests)
             world.change(member(str(world.endpoint.address), phase="Terminating"))
-            await until(lambda: not relay._sender._endpoints)  # discovery is watched again
+            await until(lambda: not relay._engine._endpoints)  # discovery is watched again
         self.assertEqual(world.endpoint.requests[0].headers[b"req-id"], b"a2")
         self.assertEqual(world.notices, [{"message": "lost", "outcome": "given_up"}])
 
@@ -423,7 +425,7 @@
         known = {"revision": 0, "complete": True, "members": [ready]}
         with mock.patch("calicohitch.net.relay._LIST_S", LIMIT):
             async with world.relay(known=known) as relay:
-                self.assertEqual((len(relay._open), relay._sender._slots_taken), (1, 0))
+                self.assertEqual((len(relay._open), relay._engine._slots_taken), (1, 0))
         async with world.relay(known=known, discovery="127.0.0.1:9"):
             await until(lambda: world.endpoint.requests)  # with no discovery, an old list has to do
 
--- a/tests/test_six_rules.py
+++ b/tests/test_six_rules.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from calicohitch import interface as i
-from calicohitch.rules import SECOND
+from calicohitch.decisions import SECOND
 
 BAD = [o for o in i.Outcome if o is not i.Outcome.OK]
 STEP = st.tuples(
--- a/tests/test_why_held.py
+++ b/tests/test_why_held.py
@@ -8,7 +8,7 @@
 
 from calicohitch import interface as i
 from calicohitch.interface import Hold, Outcome
-from calicohitch.rules import SECOND
+from calicohitch.decisions import SECOND
 
 
 def made(**changes: object) -> Courier:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -25,7 +25,7 @@
 
 
 class Recorder:
-    """Stands in for a Sender and keeps what it is told."""
+    """Stands in for a DecisionEngine and keeps what it is told."""
 
     made: list[Recorder] = []
 
--- a/tests/tracing/test_hops.py
+++ b/tests/tracing/test_hops.py
@@ -21,7 +21,7 @@
 
 from calicohitch.journal import Entry, Journal
 from calicohitch.net.http import ClientConnection
-from calicohitch.core.seam import Submission
+from calicohitch.core.protocols import Submission
 from calicohitch.tracing import otlp
 from calicohitch.tracing.ledger import Ledger
 from calicohitch.tracing.sampling import Cause
