--- a/calicohitch/commands/recovery.py
+++ b/calicohitch/commands/recovery.py
@@ -8,7 +8,7 @@
 
 import click
 
-from ..recovery.reading import KINDS, PHASES, Life, fleet, read
+from ..recovery.reading import KINDS, PHASES, Incarnation, fleet, read
 
 
 class Unreadable(click.ClickException):
@@ -29,14 +29,14 @@
     help="Draw what was restored, fresh, refused and served by second (PNG, SVG, PDF); the extra charts.",
 )
 def command(logs: tuple[Path, ...], as_json: bool, chart: Path | None) -> None:
-    lives: list[Life] = []
+    incarnations: list[Incarnation] = []
     for path in logs:
         try:
             with path.open(encoding="utf-8", errors="replace") as lines:
-                lives += read(path.stem, lines)
+                incarnations += read(path.stem, lines)
         except OSError as err:
             raise Unreadable(f"{path}: {err.strerror}") from err
-    whole = fleet(lives)
+    whole = fleet(incarnations)
     if chart:
         from ..recovery.chart import ChartError, draw
 
@@ -45,21 +45,21 @@
         except ChartError as err:
             raise Unreadable(str(err)) from err
     if as_json:
-        click.echo(json.dumps({"fleet": whole, "lives": [life.told() for life in lives]}))
+        click.echo(json.dumps({"fleet": whole, "lives": [incarnation.told() for incarnation in incarnations]}))
     else:
-        _print(lives, whole)
-    if not lives or any("full" not in life.phases for life in lives):
+        _print(incarnations, whole)
+    if not incarnations or any("full" not in incarnation.phases for incarnation in incarnations):
         raise SystemExit(1)
 
 
-def _print(lives: list[Life], whole: dict[str, Any]) -> None:
-    if not lives:
+def _print(incarnations: list[Incarnation], whole: dict[str, Any]) -> None:
+    if not incarnations:
         click.echo("no log tells of a return")
         return
     click.echo("relay         life" + "".join(f"{phase:>10}" for phase in PHASES) + "  restored")
-    for life in lives:
-        cells = "".join(f"{life.phases[phase]:>10.0f}" if phase in life.phases else f"{'-':>10}" for phase in PHASES)
-        click.echo(f"{life.relay[:10]:<10}{life.life % 100_000_000:>8}{cells}{life.facts.get('restored', 0):>10}")
+    for one in incarnations:
+        cells = "".join(f"{one.phases[phase]:>10.0f}" if phase in one.phases else f"{'-':>10}" for phase in PHASES)
+        click.echo(f"{one.relay[:10]:<10}{one.number % 100_000_000:>8}{cells}{one.facts.get('restored', 0):>10}")
     for word in ("median", "worst"):
         cells = "".join(
             f"{whole['phases'][phase][f'{word}_ms']:>10.0f}" if phase in whole["phases"] else f"{'-':>10}"
--- a/calicohitch/core/change_notifier.py
+++ b/calicohitch/core/change_notifier.py
@@ -13,7 +13,7 @@
     def __init__(self) -> None:
         self._waited_for: anyio.Event | None = None
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         if event := self._waited_for:
             self._waited_for = None
             event.set()
--- a/calicohitch/core/descriptor_budget.py
+++ b/calicohitch/core/descriptor_budget.py
@@ -21,7 +21,7 @@
 _FIXED = 21  # the listener, notes, the journal, the claim on it, the poll, and what the interpreter holds
 
 
-def shared_out(sockets: int, grpc: int = 0) -> DescriptorBudget:
+def divide_descriptors(sockets: int, grpc: int = 0) -> DescriptorBudget:
     """The budget of a relay that may hold so many descriptors, of which gRPC has a part where it is on: half are for
     clients, one each for notices, discovery and tracing, and calls have the rest."""
     clients, others = sockets // 2, _FIXED + 3 + grpc
@@ -35,9 +35,9 @@
         DescriptorUse.CALLS: calls,
         DescriptorUse.CLIENTS: clients,
     }
-    leases = DescriptorBudget(sum(kept.values()), kept)
-    leases.held.update({DescriptorUse.RELAY: _FIXED, DescriptorUse.GRPC: grpc})  # for good
-    return leases
+    descriptors = DescriptorBudget(sum(kept.values()), kept)
+    descriptors.held.update({DescriptorUse.RELAY: _FIXED, DescriptorUse.GRPC: grpc})  # for good
+    return descriptors
 
 
 class DescriptorBudget:
--- a/calicohitch/decision_state.py
+++ b/calicohitch/decision_state.py
@@ -94,7 +94,7 @@
         """What a held message shares with those that differ from it in their times alone."""
         return self.told.class_index, self.worth, self.attempts > 0, self.owed
 
-    def came_back(self, outcome: Outcome) -> None:
+    def recovery(self, outcome: Outcome) -> None:
         """An attempt ended so: whether it was a call at all, and whether it was refused."""
         self.refused = outcome is Outcome.FULL
         self.owed = self.owed and outcome in (Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.CANCELLED)
--- a/calicohitch/decisions.py
+++ b/calicohitch/decisions.py
@@ -123,7 +123,7 @@
         self._actions: list[Action] = []
         self._mean: float | None = None  # latency of served calls, over all destinations
         self._timer_at = self._slots_taken = 0
-        self.news = LimitUpdates(seed)
+        self.limit_updates = LimitUpdates(seed)
         self._ask_at, self._ask_pause = -1, ASK_AGAIN
         names = [report.name for report in settings.reports]
         self._new_route: Callable[[], Route] = lambda: Route(self._now, share_of(settings.couriers, names))
@@ -147,7 +147,7 @@
         self._release()
         self._make_room()
         self._arm()
-        if self._set.may_tell and (note := self.news.due(now)):
+        if self._set.may_tell and (note := self.limit_updates.due(now)):
             self._actions.append(Tell(None, note))
         return self._actions
 
@@ -191,7 +191,7 @@
         if not call.told:
             call.told = True
             self._learn(call, event)
-        message.came_back(event.outcome)
+        message.recovery(event.outcome)
         if event.outcome.never_ran:
             del message.may_have_run[event.attempt]
         elif message.told.key and event.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
@@ -212,7 +212,7 @@
         if event.outcome in (Outcome.CANCELLED, Outcome.MOOT) or event.stale:
             return
         shared = endpoint.told.dest if route is dest.routes.get(SHARED) else None
-        self.news.told(now, shared, route.share, event.report, event.outcome is Outcome.FULL)
+        self.limit_updates.told(now, shared, route.share, event.report, event.outcome is Outcome.FULL)
         if call.again and event.outcome in (Outcome.OK, Outcome.FULL):
             # Guards against limits that refused calls use up: there trying again shuts out all. Where most of
             # a kind's second tries are refused, its rests double. Harm: a full partner slows its kind.
@@ -367,7 +367,7 @@
             self._touched[endpoint.told.dest] = None
 
     def _peer_said(self, event: PeerSaid) -> None:
-        for name, limit in self.news.heard(self._now, event.data):
+        for name, limit in self.limit_updates.heard(self._now, event.data):
             if (dest := self._dests.get(name)) and SHARED in dest.routes:
                 dest.routes[SHARED].share.noted(self._now, limit)
                 self._touched[name] = None
--- a/calicohitch/failover/links.py
+++ b/calicohitch/failover/links.py
@@ -44,11 +44,11 @@
         settings: FleetSettings,
         now: Callable[[], float],
         heard: Callable[[str, float], None],
-        news: ChangeNotifier,
+        changes: ChangeNotifier,
     ) -> None:
         """`heard`: told for each acknowledgement who gave it, and when what it had heard was sent."""
         self._me, self._copying, self._roster, self._set, self._now = me, copying, roster, settings, now
-        self._heard, self._news = heard, news
+        self._heard, self._changes = heard, changes
         self.epoch = 0
         self.wanted: set[str] = set()
         self._running: dict[str, anyio.CancelScope] = {}
@@ -135,7 +135,7 @@
             self._told.discard(relay)
             self._avoided.pop(relay, None)
             self._down_since.pop(relay, None)
-            self._news.tell()
+            self._changes.notify()
             tasks.start_soon(self._beat, relay, outbox)
             self._take(link, first)
             async for told in came:
@@ -144,7 +144,7 @@
             if link:
                 self._copying.went_down(relay, link)
             self._down_since.setdefault(relay, self._now())
-            self._news.tell()
+            self._changes.notify()
 
     async def _beat(self, relay: str, outbox: Outbox) -> None:
         while outbox.put(frames.Beat(self._now(), self._answered.get(relay, 0.0))):
@@ -165,7 +165,7 @@
                 self._copying.full(link, frame.part)
             else:
                 raise frames.BadFrame(f"a holder does not send {type(frame).__name__}")
-        self._news.tell()
+        self._changes.notify()
 
 
 class InboundReplication:
--- a/calicohitch/failover/manager.py
+++ b/calicohitch/failover/manager.py
@@ -44,7 +44,7 @@
         self,
         settings: FleetSettings,
         name: str,
-        life: int,
+        incarnation: int,
         classes: Sequence[str],
         folder: Path,
         store: Store,
@@ -56,7 +56,7 @@
         self._modes = dict(zip(classes, settings.classes, strict=True))
         self._class_names = tuple(classes)
         keys = Keys(settings.name)
-        member = Member(0, life, str(settings.advertise or settings.listen), settings.zone)
+        member = Member(0, incarnation, str(settings.advertise or settings.listen), settings.zone)
         term = LeaseTerm(settings.ttl_ms, settings.pause_ms)
         self.proof = LeaseValidity(term)
         self.tenure = Ownership(keys, name, settings.parts, member)
@@ -64,8 +64,8 @@
         self.copying = Replication(settings.parts, settings.copies)
         self.holdings = ReplicaStore(folder / "copies", settings.hold_bytes, now)
         self.claims = Claims(name, term, settings.grace_ms, now())
-        self.news = ChangeNotifier()
-        self._out = OutboundReplication(name, self.copying, self.fleet.roster, settings, now, self._heard, self.news)
+        self.changes = ChangeNotifier()
+        self._out = OutboundReplication(name, self.copying, self.fleet.roster, settings, now, self._heard, self.changes)
         self._in = InboundReplication(
             name, self.holdings, self.claims, self.fleet.roster, settings, now, lambda: self.tenure.epoch
         )
@@ -157,7 +157,7 @@
         """Look again with each word of a link or of the store."""
         with anyio.move_on_after(within_s):
             while not holds():
-                await self.news.wait()
+                await self.changes.wait()
             return True
         return False
 
@@ -263,7 +263,7 @@
                 tasks.start_soon(self._publish, target)
             self._done_waiting()
             with anyio.move_on_after(_LOOK_S):
-                await self.news.wait()
+                await self.changes.wait()
 
     def _chosen(self, part: int, zones: dict[str, str]) -> list[str]:
         """The holders that a part should have: the first of its order that are in time, and enough of the others that
@@ -301,7 +301,7 @@
                 )
         finally:
             self._publishing = False
-            self.news.tell()
+            self.changes.notify()
 
     def _both(self, target: tuple[tuple[ReplicaHolder, ...], ...]) -> tuple[tuple[ReplicaHolder, ...], ...]:
         return tuple(tuple(dict.fromkeys(old + new)) for old, new in zip(self.copying.published, target, strict=True))
@@ -336,7 +336,7 @@
                     self.holdings.remove(held)
             await self._forget_claims(seen)
             with anyio.move_on_after(max(0.0, min(again - now, 500.0)) / 1e3):
-                await self.fleet.news.wait()
+                await self.fleet.changes.wait()
 
     async def _forget_claims(self, seen: dict[tuple[str, int, int], float]) -> None:
         """Adopted claims, and works of which nothing else is left, go from the store once they can matter to nobody."""
--- a/calicohitch/failover/wire.py
+++ b/calicohitch/failover/wire.py
@@ -22,7 +22,7 @@
         self._most = most
         self._waiting: deque[bytes] = deque()
         self.size = 0
-        self._news = ChangeNotifier()
+        self._changes = ChangeNotifier()
         self.closed = False
 
     def put(self, frame: frames.Frame) -> bool:
@@ -32,18 +32,18 @@
             return False
         self._waiting.append(data)
         self.size += len(data)
-        self._news.tell()
+        self._changes.notify()
         return True
 
     def close(self) -> None:
         self.closed = True
-        self._news.tell()
+        self._changes.notify()
 
     async def drain(self, stream: ByteStream) -> None:
         """Write what comes, until it is closed."""
         while not self.closed:
             if not self._waiting:
-                await self._news.wait()
+                await self._changes.wait()
                 continue
             batch, length = [], 0
             while self._waiting and length < _WRITE:
--- a/calicohitch/fleet/membership.py
+++ b/calicohitch/fleet/membership.py
@@ -48,7 +48,7 @@
         self._path, self._set, self._now = folder / _FILE, settings, now
         self.lease = 0
         self.kept = self._read_kept()
-        self.news = ChangeNotifier()
+        self.changes = ChangeNotifier()
         self.on_passed: Callable[[str], None] = lambda _why: None
         self.registered = False
         self.went_back = 0  # times that the store was found empty or gone back
@@ -146,7 +146,7 @@
             self.proof.passed = why
             logger.bind(event="fleet.passed").error("{}", why)
             self.on_passed(why)
-        self.news.tell()
+        self.changes.notify()
 
     # A tenure.
 
--- a/calicohitch/grpc/intake.py
+++ b/calicohitch/grpc/intake.py
@@ -43,12 +43,12 @@
 
     def ended(self, end: MessageEnd) -> None:
         self.end = end
-        self.stream.news.tell()
+        self.stream.changes.notify()
 
     async def over(self) -> None:
         """Until the call has its end, or its client gives up."""
         while self.end is None and not self.stream.reset:
-            await self.stream.news.wait()
+            await self.stream.changes.wait()
 
 
 class GrpcIntake:
--- a/calicohitch/grpc/pipe.py
+++ b/calicohitch/grpc/pipe.py
@@ -42,7 +42,7 @@
     _size: int = 0
     _taken: int = 0  # messages that the present attempt took of those kept
     _attempt: object | None = None
-    _news: ChangeNotifier = field(default_factory=ChangeNotifier)
+    _changes: ChangeNotifier = field(default_factory=ChangeNotifier)
     on_cancel: Callable[[], None] | None = None  # ends the attempt that is out
 
     @property
@@ -58,7 +58,7 @@
                 await self._put(message)
         deframer.end()
         self.ended = True
-        self._news.tell()
+        self._changes.notify()
 
     async def _put(self, message: bytes) -> None:
         while self._size and self._size + len(message) > self.keep:
@@ -68,10 +68,10 @@
                     self._size -= len(self._kept.popleft())
                     self._taken -= 1
                 continue
-            await self._news.wait()
+            await self._changes.wait()
         self._kept.append(message)
         self._size += len(message)
-        self._news.tell()
+        self._changes.notify()
 
     async def messages(self) -> AsyncIterator[tuple[bytes, bool]]:
         """What the client sent, from the first on, for one attempt; with each whether it is the last that there is."""
@@ -81,12 +81,12 @@
             if self._taken < len(self._kept):
                 message = self._kept[self._taken]
                 self._taken += 1
-                self._news.tell()
+                self._changes.notify()
                 yield message, self.ended and self._taken == len(self._kept)
             elif self.ended:
                 return
             else:
-                await self._news.wait()
+                await self._changes.wait()
 
     def let_go(self) -> None:
         """The attempt is over."""
--- a/calicohitch/intake/clients.py
+++ b/calicohitch/intake/clients.py
@@ -177,7 +177,7 @@
         while True:
             await anyio.sleep(self._set.told_every_s)
             if told := self.account.told():
-                ledger = self._relay.leases.told()
+                ledger = self._relay.descriptors.told()
                 logger.bind(event="clients.shed", seats=self.seats.count, ledger=ledger, **told).info(
                     "clients: {} were shed or refused: {}",
                     sum(told["causes"].values()),  # type: ignore[attr-defined]
@@ -278,7 +278,7 @@
         if verdict is not Verdict.ENTER:
             self._turn_off(sock, source, verdict.value)
             return
-        if not self._relay.leases.take(DescriptorUse.CLIENTS):
+        if not self._relay.descriptors.take(DescriptorUse.CLIENTS):
             self.shares.leave(source)
             self._turn_off(sock, source, "no descriptor was left")
             return
@@ -292,7 +292,7 @@
 
     def _wait(self, seat: Seat) -> None:
         assert self._waited_for and self._tasks
-        self._waiting.tell()
+        self._waiting.notify()
         try:
             self._waited_for.register(seat.sock)
         except OSError as err:  # the poll takes no more sockets for a moment
@@ -317,7 +317,7 @@
             seat.gone = True
             self.seats.count -= 1
             self.shares.leave(seat.source)
-            self._relay.leases.give_back(DescriptorUse.CLIENTS)
+            self._relay.descriptors.give_back(DescriptorUse.CLIENTS)
             if seat.handed_in and seat in self.seats.kept:
                 self._keeping.did_not()
             self.seats.leave_line(seat)
@@ -470,7 +470,7 @@
         seat.since = anyio.current_time()
         seat.deadline = seat.since + _IDLE_S
         self.seats.kept[seat] = None
-        self._waiting.tell()
+        self._waiting.notify()
 
     def _decide(
         self, seat: Seat, request: Request, waited_ms: float = 0.0
--- a/calicohitch/intake/readiness.py
+++ b/calicohitch/intake/readiness.py
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
         self._came: dict[int, None] = {}
-        self._news = ChangeNotifier()
+        self._changes = ChangeNotifier()
 
     def register(self, sock: socket.socket) -> None:
         self._loop.add_reader(fd := sock.fileno(), self._tell, fd)
@@ -30,12 +30,12 @@
 
     def _tell(self, fd: int) -> None:
         self._came[fd] = None
-        self._news.tell()
+        self._changes.notify()
 
     async def wait(self) -> None:
         """Until some of them have something to read."""
         if not self._came:
-            await self._news.wait()
+            await self._changes.wait()
 
     def take(self, most: int) -> list[int]:
         """So many of those that have, in the order in which they came."""
--- a/calicohitch/journal.py
+++ b/calicohitch/journal.py
@@ -172,7 +172,7 @@
         self,
         folder: Path,
         disk_bytes: float,
-        life: int = 0,
+        incarnation: int = 0,
         check: Callable[[], None] = lambda: None,
         moment: Moment | None = None,
         complete: bool = False,
@@ -183,7 +183,7 @@
         this relay's clock, and moved where that was set meanwhile; those of copies are their owner's."""
         self._budget = int(disk_bytes * DISK_SHARE)
         self._roll_at = max(4096, min(128 << 10, self._budget // 16))
-        self._folder, self._life, self._check, self._complete = folder, life, check, complete
+        self._folder, self._incarnation, self._check, self._complete = folder, incarnation, check, complete
         self._moment = moment or clocks.now(Clock().now())
         self._own_times = own_times
         self._segments: deque[_Segment] = deque()
@@ -205,7 +205,7 @@
         self.copier: Copier | None = None  # told of each record that is written, and whether it is a message's last
         folder.mkdir(parents=True, exist_ok=True)
         self._load_all()
-        self.next_number = max(self.next_number, life << 32)  # numbers of a damaged stretch are not used again
+        self.next_number = max(self.next_number, incarnation << 32)  # numbers of a damaged stretch are not used again
         self._drop_oldest()
 
     def close(self) -> None:
@@ -391,7 +391,7 @@
 
     def _roll(self) -> None:
         path = self._folder / f"journal-{self._last + 1:08d}.log"
-        header = self._record(_Kind.HEADER, 0, _header_data(self._life, self._last + 1, self._moment))
+        header = self._record(_Kind.HEADER, 0, _header_data(self._incarnation, self._last + 1, self._moment))
         fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
             write_all(fd, header)
@@ -614,8 +614,8 @@
             entry.origin = Origin(str(relay), int(epoch), int(part), bool(confirmed))
 
 
-def _header_data(life: int, number: int, moment: Moment) -> bytes:
-    return _HEADER.pack(FORMAT, life, number) + _MOMENT.pack(moment.wall, moment.mono) + moment.boot.encode()
+def _header_data(incarnation: int, number: int, moment: Moment) -> bytes:
+    return _HEADER.pack(FORMAT, incarnation, number) + _MOMENT.pack(moment.wall, moment.mono) + moment.boot.encode()
 
 
 def _taken_data(entry: Entry) -> bytes:
--- a/calicohitch/net/discovery.py
+++ b/calicohitch/net/discovery.py
@@ -238,10 +238,10 @@
         directory: Directory,
         tell: Callable[[ListTold], None],
         patience: DiscoveryTimeouts,
-        leases: DescriptorBudget | None = None,
+        descriptors: DescriptorBudget | None = None,
     ) -> None:
-        lease = (leases, DescriptorUse.DISCOVERY) if leases else None
-        self._agent = KeptConnection(address, _MAX_LIST, needs_body=True, lease=lease)
+        descriptor = (descriptors, DescriptorUse.DISCOVERY) if descriptors else None
+        self._agent = KeptConnection(address, _MAX_LIST, needs_body=True, descriptor=descriptor)
         self._directory, self._tell = directory, tell
         self._version: int | None = None
         self._at_once = False  # the list at hand may be old
--- a/calicohitch/net/endpoints.py
+++ b/calicohitch/net/endpoints.py
@@ -95,9 +95,9 @@
     """The connections to all endpoints. Each has a lease; where there is none the longest idle one makes room."""
 
     def __init__(
-        self, clock: Clock, fields: tuple[str, ...], idle_ms: float, connect_ms: float, leases: DescriptorBudget
+        self, clock: Clock, fields: tuple[str, ...], idle_ms: float, connect_ms: float, descriptors: DescriptorBudget
     ) -> None:
-        self._clock, self._fields, self._connect_s, self._leases = clock, fields, connect_ms / 1e3, leases
+        self._clock, self._fields, self._connect_s, self._descriptors = clock, fields, connect_ms / 1e3, descriptors
         self._idle_ms = idle_ms * _IDLE_SHARE or math.inf
         # An endpoint that moves is not called where it was, nor one that comes to its address by its calls.
         self._idle: dict[tuple[int, Address], deque[ClientConnection]] = {}
@@ -185,11 +185,11 @@
             if anyio.current_time() > until:
                 raise NoConnection
             await anyio.sleep(_ROOM_S)
-        self._leases.take(DescriptorUse.CALLS)
+        self._descriptors.take(DescriptorUse.CALLS)
         try:
             return await self._open(address, opening)
         except BaseException:
-            self._leases.give_back(DescriptorUse.CALLS)
+            self._descriptors.give_back(DescriptorUse.CALLS)
             raise
 
     async def _open(self, address: Address, opening: _Opening) -> ClientConnection:
@@ -211,7 +211,7 @@
                 await anyio.sleep(RETRY_PAUSE_S)
 
     def _is_full(self) -> bool:
-        return not self._leases.free_for(DescriptorUse.CALLS)
+        return not self._descriptors.free_for(DescriptorUse.CALLS)
 
     def _warm(self, pool: tuple[int, Address]) -> ClientConnection | None:
         """The idle connection that was used last, if it can still be used: the others may then grow old."""
@@ -232,7 +232,7 @@
 
     def _close(self, connection: ClientConnection) -> None:
         connection.close()
-        self._leases.give_back(DescriptorUse.CALLS)
+        self._descriptors.give_back(DescriptorUse.CALLS)
 
     def _close_longest_idle(self) -> bool:
         pools = [idle for idle in self._idle.values() if idle]
--- a/calicohitch/net/http.py
+++ b/calicohitch/net/http.py
@@ -411,10 +411,10 @@
         address: Address,
         max_body: int = MAX_BODY,
         needs_body: bool = False,
-        lease: tuple[DescriptorBudget, DescriptorUse] | None = None,
+        descriptor: tuple[DescriptorBudget, DescriptorUse] | None = None,
     ) -> None:
-        """`lease`: the budget of descriptors, and whose part of it the connection takes."""
-        self._address, self._max_body, self._needs_body, self._lease = address, max_body, needs_body, lease
+        """`descriptor`: the budget of descriptors, and whose part of it the connection takes."""
+        self._address, self._max_body, self._needs_body, self._descriptor = address, max_body, needs_body, descriptor
         self._connection: ClientConnection | None = None
         self._leased = False
         self._connected_to = address
@@ -439,7 +439,7 @@
                     self._close()
                     connection = await ClientConnection.open(address, self._max_body, self._needs_body)
                     self._connection, self._connected_to = connection, address
-                    self._leased = self._lease is not None and self._lease[0].take(self._lease[1])
+                    self._leased = self._descriptor is not None and self._descriptor[0].take(self._descriptor[1])
                 response = await connection.request(method, target, headers, body)
             if self._asking.cancelled_caught or self._address != address:
                 raise Moved(f"the address is now {self._address}")
@@ -452,8 +452,8 @@
         if self._connection is not None:
             self._connection.close()
             self._connection = None
-            if self._lease and self._leased:
-                self._lease[0].give_back(self._lease[1])
+            if self._descriptor and self._leased:
+                self._descriptor[0].give_back(self._descriptor[1])
 
 
 @dataclass(frozen=True, slots=True)
--- a/calicohitch/net/notices.py
+++ b/calicohitch/net/notices.py
@@ -45,12 +45,12 @@
         self,
         address: Address,
         acknowledged: Callable[[int], None],
-        leases: DescriptorBudget | None = None,
+        descriptors: DescriptorBudget | None = None,
         may_act: Callable[[], bool] = lambda: True,
     ) -> None:
         """`may_act`: asked before each request; while it says no, nothing is sent."""
-        lease = (leases, DescriptorUse.NOTICES) if leases else None
-        self._agent, self._acknowledged = KeptConnection(address, lease=lease), acknowledged
+        descriptor = (descriptors, DescriptorUse.NOTICES) if descriptors else None
+        self._agent, self._acknowledged = KeptConnection(address, descriptor=descriptor), acknowledged
         self._may_act = may_act
         self._waiting: deque[Notice] = deque()
         self._news = anyio.Event()
--- a/calicohitch/net/peers.py
+++ b/calicohitch/net/peers.py
@@ -26,7 +26,7 @@
         with suppress(OSError):  # its address may not be free yet: `run` tries again
             self._sock = self._opened()
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send(self, peer: int | None, data: bytes) -> None:
         """Send a note to one relay, or to all where `peer` is None; one that cannot be sent is lost."""
         to = self._everyone if peer is None else self._peers[peer] if peer < len(self._peers) else None
         if self._sock is None or to is None or len(data) > MAX_NOTE:
--- a/calicohitch/net/relay.py
+++ b/calicohitch/net/relay.py
@@ -21,7 +21,7 @@
 from ..config import Config
 from ..core.backoff import Backoff
 from ..core.invariants import Invariant, Invariants
-from ..core.descriptor_budget import DescriptorUse, shared_out
+from ..core.descriptor_budget import DescriptorUse, divide_descriptors
 from ..core.call_history import CallHistory
 from ..core.change_notifier import ChangeNotifier
 from ..core.discovery_timeouts import DiscoveryTimeouts
@@ -92,15 +92,15 @@
         """`memory`: what is kept of the world between lives; without one a life begins knowing nothing. `up_at`: when
         the process began, on the clock. `copies`: other relays hold copies of this one's work, and take it over."""
         self._memory_of_world = memory
-        self.came_back = Recovery(clock.now() if up_at is None else up_at)
+        self.recovery = Recovery(clock.now() if up_at is None else up_at)
         self._config, self._clock, self._journal = config, clock, journal
         settings = config.settings
         self._engine = DecisionEngine(settings, config.seed)
         self._tracer = tracer
-        self.leases = shared_out(config.limits.sockets, reserved)
+        self.descriptors = divide_descriptors(config.limits.sockets, reserved)
         if tracer:
             tracer.why = self._engine.why_held
-            self.leases.take(DescriptorUse.TRACING)  # for its collector, whether it has one or not
+            self.descriptors.take(DescriptorUse.TRACING)  # for its collector, whether it has one or not
         self._open: dict[int, _Open] = {}
         self._by_id: dict[str, int] = {}
         self._events: deque[i.Event] = deque()
@@ -117,18 +117,18 @@
         self._directory = Directory(config.names, speaks)
         backoff = Backoff(settings.couriers, config.seed)
         patience = DiscoveryTimeouts(settings.asks_for_list, backoff)
-        self._discovery = Discovery(config.discovery, self._directory, self._listed, patience, self.leases)
+        self._discovery = Discovery(config.discovery, self._directory, self._listed, patience, self.descriptors)
         self._waits: dict[int, float] = {}  # destination, or endpoint where those are routes apart -> its end
         self._disk_refused = ChangeNotifier()
-        journal.on_refused = self._disk_refused.tell
+        journal.on_refused = self._disk_refused.notify
         self._pending_ends = PendingEnds(journal, clock.now, self._tell_end)
-        self._notices = Notices(config.discovery, self._closed, self.leases, self._may_end)
+        self._notices = Notices(config.discovery, self._closed, self.descriptors, self._may_end)
         self._endpoints = Endpoints(
             clock,
             tuple(report.name for report in settings.reports),
             to_ms(settings.idle_time),
             to_ms(settings.connect_timeout),
-            self.leases,
+            self.descriptors,
         )
         self._deliveries: dict[int, Delivery] = {0: self._endpoints}
         self.invariants = Invariants()
@@ -242,8 +242,8 @@
             self._tracer.taken(number)
         self._open[number] = _Open(entry, told)
         self._by_id[told.id] = number
-        if not self.came_back.over:
-            self.came_back.did(now, RecoveryCounter.FRESH)
+        if not self.recovery.over:
+            self.recovery.did(now, RecoveryCounter.FRESH)
         return number
 
     def _take_again(self, entry: Entry, told: Submission) -> int | Refusal:
@@ -360,10 +360,10 @@
         unread = 0  # notes, as last logged
         while True:
             await anyio.sleep(_KEEP_S)
-            if not self.came_back.told:
+            if not self.recovery.told:
                 self._tell_return()
-            if self._engine.news.unread > _UNREAD_GROWS * unread:
-                unread = self._engine.news.unread
+            if self._engine.limit_updates.unread > _UNREAD_GROWS * unread:
+                unread = self._engine.limit_updates.unread
                 logger.bind(event="notes.unread", count=unread).warning(
                     "{} notes from other relays could not be read and were left out", unread
                 )
@@ -393,22 +393,22 @@
         return member.id if member else ""
 
     def _tell_return(self) -> None:
-        for passed in self.came_back.news(self._clock.now()):
+        for passed in self.recovery.new_phases(self._clock.now()):
             facts = ", ".join(f"{count} {name}" for name, count in passed.facts.items())
             logger.bind(event="recovery.phase", phase=passed.phase.value, after_ms=passed.after, **passed.facts).info(
                 "return: {} after {:.0f} ms{}", passed.phase.value, passed.after, f" ({facts})" if facts else ""
             )
-        for second, counts in self.came_back.seconds:
+        for second, counts in self.recovery.seconds:
             logger.bind(event="recovery.second", second=second, **counts).info(
                 "return: second {}: {}", second, ", ".join(f"{count} {name}" for name, count in counts.items())
             )
-        self.came_back.seconds.clear()
+        self.recovery.seconds.clear()
 
     def _heard(self, peer: int, data: bytes) -> None:
         self.feed(i.PeerSaid(peer, data))
 
     def _listed(self, told: i.ListTold) -> None:
-        self.came_back.listed(self._clock.now())
+        self.recovery.listed(self._clock.now())
         self.heard_since_kept = True
         if self._tracer:
             self._tracer.listed()
@@ -436,7 +436,7 @@
                 for delivery in self._deliveries.values():
                     delivery.close_idle(endpoint)
             case i.Tell(peer, data) if self._peers:
-                self._peers.tell(peer, data)
+                self._peers.send(peer, data)
             case i.Log(text):
                 logger.info("decisions: {}", text)
             case _:  # changes of the list always come unasked, and no site that runs a relay allows probes
@@ -493,8 +493,8 @@
             logger.error("journal: {}", err)
             return False
         message.written.add(number)
-        if not self.came_back.over:
-            self.came_back.tried(entry.number)
+        if not self.recovery.over:
+            self.recovery.tried(entry.number)
         return True
 
     async def _call(
@@ -575,10 +575,10 @@
 
     def _settled(self, message: _Open, attempt: int, endpoint: int, result: Result) -> None:
         number, now = message.entry.number, self._clock.now()
-        if not self.came_back.over:
-            self.came_back.answered(now, message.entry.dest)
+        if not self.recovery.over:
+            self.recovery.answered(now, message.entry.dest)
             if result.ended:
-                self.came_back.did(now, RecoveryCounter.SERVED, number)
+                self.recovery.did(now, RecoveryCounter.SERVED, number)
         message.calls.pop(attempt, None)
         if self._tracer:
             self._tracer.settled(number, attempt, result.outcome, result.wait, result.ended)
@@ -630,8 +630,8 @@
     def _end(self, number: int, end: End) -> None:
         if (message := self._forget(number)) is None:
             return
-        if not self.came_back.over:
-            self.came_back.did(self._clock.now(), RecoveryCounter.REFUSED, number)
+        if not self.recovery.over:
+            self.recovery.did(self._clock.now(), RecoveryCounter.REFUSED, number)
         if self._tracer:
             self._tracer.ended(number, end.handed_back, end.retry_in)
         if message.told and message.told.reply:
@@ -715,7 +715,7 @@
         arrived = self._taken_up(entries)
         if entries:
             logger.info("from the journal: {} messages, {} notices", len(arrived), len(self._notices))
-        self.came_back.folder(
+        self.recovery.folder(
             now,
             {told.message: told.dest for told in arrived},
             len(self._journal.damage),
--- a/calicohitch/recovery/cached_state.py
+++ b/calicohitch/recovery/cached_state.py
@@ -51,7 +51,7 @@
     """All that is stored. `members` in discovery's form; `on_time` by class: how many of how many were in time."""
 
     written: Moment
-    life: int = 0
+    incarnation: int = 0
     discovery: str = ""
     revision: int = -1
     members: tuple[Mapping[str, Any], ...] = ()
@@ -78,7 +78,7 @@
     """One line of JSON behind its checksum. A list too long for the bound is left out."""
     told = {
         "format": FORMAT,
-        "life": beliefs.life,
+        "life": beliefs.incarnation,
         "written": [beliefs.written.wall, beliefs.written.mono, beliefs.written.boot],
         "discovery": beliefs.discovery,
         "revision": beliefs.revision,
--- a/calicohitch/recovery/folder_lease.py
+++ b/calicohitch/recovery/folder_lease.py
@@ -59,8 +59,8 @@
 class FolderLease:
     """This process's hold on a folder. `take` begins a life; `check` before each act; `renew` twice a second."""
 
-    def __init__(self, folder: Path, life: int, fd: int) -> None:
-        self.folder, self.life = folder, life
+    def __init__(self, folder: Path, incarnation: int, fd: int) -> None:
+        self.folder, self.incarnation = folder, incarnation
         self._fd = fd
         self._count = 0
         self.lost: str = ""  # why, once a later life has the folder
@@ -89,10 +89,10 @@
             self._lose(self._why())
 
     def _why(self) -> str:
-        later = [life for life in _lives_or_none(self.folder) if life > self.life]
+        later = [incarnation for incarnation in _incarnations_or_none(self.folder) if incarnation > self.incarnation]
         if later:
-            return f"life {later[-1]} has the folder {self.folder} now; life {self.life} ends"
-        return f"the folder {self.folder} was emptied or replaced under life {self.life}; it ends"
+            return f"life {later[-1]} has the folder {self.folder} now; life {self.incarnation} ends"
+        return f"the folder {self.folder} was emptied or replaced under life {self.incarnation}; it ends"
 
     def renew(self) -> None:
         """Count up, so that watchers see this life move. An error of the disk does not end it: it is proved without."""
@@ -100,7 +100,7 @@
             return
         try:
             self.check()
-            if self.life not in _lives(self.folder):  # another folder was put in its place
+            if self.incarnation not in _incarnations(self.folder):  # another folder was put in its place
                 self._lose(self._why())
             else:
                 self._write()
@@ -115,30 +115,30 @@
 
     def _write(self) -> None:
         self._count += 1
-        line = f"{self.life} {os.getpid()} {self._count}\n".ljust(_LINE)
+        line = f"{self.incarnation} {os.getpid()} {self._count}\n".ljust(_LINE)
         os.pwrite(self._fd, line.encode(), 0)
 
     @classmethod
     def begin(cls, folder: Path, after: int, wall: Callable[[], float]) -> FolderLease:
         """Make the next life's file, lock it, and remove the earlier ones; under `claim.lock`. What was begun in vain
         is taken back: an earlier life whose file is still there goes on."""
-        life = max(after + 1, int(wall()))
-        path = folder / f"life-{life}"
+        incarnation = max(after + 1, int(wall()))
+        path = folder / f"life-{incarnation}"
         fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
-        claim = cls(folder, life, fd)
+        lease = cls(folder, incarnation, fd)
         try:
             if not _flock(fd):
                 raise FolderInUse(f"the folder {folder}: another process locked the file of a life that just began")
-            claim._write()
-            for earlier in _lives(folder):
-                if earlier < life:
+            lease._write()
+            for earlier in _incarnations(folder):
+                if earlier < incarnation:
                     (folder / f"life-{earlier}").unlink(missing_ok=True)
         except BaseException:
-            claim.close()
+            lease.close()
             with suppress(OSError):
                 path.unlink(missing_ok=True)
             raise
-        return claim
+        return lease
 
 
 class _Short:
@@ -162,14 +162,14 @@
             os.close(self._fd)
 
 
-def _lives(folder: Path) -> list[int]:
+def _incarnations(folder: Path) -> list[int]:
     return sorted(int(found[1]) for name in os.listdir(folder) if (found := _LIFE.fullmatch(name)))
 
 
-def _lives_or_none(folder: Path) -> list[int]:
+def _incarnations_or_none(folder: Path) -> list[int]:
     """For a message only: none where the folder cannot be listed."""
     with suppress(OSError):
-        return _lives(folder)
+        return _incarnations(folder)
     return []
 
 
@@ -197,43 +197,43 @@
         return None
 
     def _look(self) -> FolderLease | None:
-        lives = _lives(self._folder)
-        owner = self._owner(lives)
+        incarnations = _incarnations(self._folder)
+        owner = self._owner(incarnations)
         if owner is None:
-            return self._begin(lives)
-        life, line = owner
+            return self._begin(incarnations)
+        incarnation, line = owner
         now = self._monotonic()
         if owner != self._seen:
             self._seen, self._since = owner, now
         still = now - self._since
         if still >= EXPIRED_S:
-            logger.bind(event="claim.expired", life=life).warning(
+            logger.bind(event="claim.expired", life=incarnation).warning(
                 "life {} holds the folder {} and has stood still for {:.1f} s: it is replaced",
-                life,
+                incarnation,
                 self._folder,
                 still,
             )
-            return self._begin(lives)
+            return self._begin(incarnations)
         parts = line.decode("ascii", "replace").split()
         pid = parts[1] if len(parts) > 1 else "unknown"
-        self.why = f"life {life} (process {pid}) has it and is alive"
+        self.why = f"life {incarnation} (process {pid}) has it and is alive"
         return None
 
-    def _begin(self, lives: list[int]) -> FolderLease:
-        return FolderLease.begin(self._folder, lives[-1] if lives else 0, self._wall)
+    def _begin(self, incarnations: list[int]) -> FolderLease:
+        return FolderLease.begin(self._folder, incarnations[-1] if incarnations else 0, self._wall)
 
-    def _owner(self, lives: list[int]) -> tuple[int, bytes] | None:
+    def _owner(self, incarnations: list[int]) -> tuple[int, bytes] | None:
         """The life whose lock is held, and what it wrote last. Not only the last one: a life that could not be begun
         to its end leaves its file where the disk does not let it go."""
-        for life in reversed(lives):
-            if (line := self._held(life)) is not None:
-                return life, line
+        for incarnation in reversed(incarnations):
+            if (line := self._held(incarnation)) is not None:
+                return incarnation, line
         return None
 
-    def _held(self, life: int) -> bytes | None:
+    def _held(self, incarnation: int) -> bytes | None:
         """What the owner wrote last; None where its process is dead. A file that cannot be read is not held."""
         try:
-            fd = os.open(self._folder / f"life-{life}", os.O_RDWR | os.O_CLOEXEC)
+            fd = os.open(self._folder / f"life-{incarnation}", os.O_RDWR | os.O_CLOEXEC)
         except FileNotFoundError:
             return None
         try:
@@ -243,19 +243,19 @@
                 os.close(fd)  # and with it the lock, if this look got it
 
 
-async def claimed(folder: Path, wait_s: float = WAIT_S) -> FolderLease:
+async def acquire_folder(folder: Path, wait_s: float = WAIT_S) -> FolderLease:
     """Begin a life on the folder; while its owner is alive, or its disk refuses, wait for it, so long at most.
     FolderProblem otherwise."""
-    watcher = LeaseMonitor(folder)
+    monitor = LeaseMonitor(folder)
     until = time.monotonic() + wait_s
     waiting = False
     while True:
         problem: FolderProblem
         try:
-            if claim := watcher.look():
-                return claim
+            if lease := monitor.look():
+                return lease
             problem = FolderInUse(
-                f"the folder {folder} is in use: {watcher.why}. Stop that process, or give this "
+                f"the folder {folder} is in use: {monitor.why}. Stop that process, or give this "
                 "relay a folder of its own (NODE_STATE)"
             )
         except FolderFailing as err:
@@ -264,5 +264,5 @@
             raise problem
         if not waiting:
             waiting = True
-            logger.bind(event="claim.waiting").info("waiting for the folder {}: {}", folder, watcher.why or problem)
+            logger.bind(event="claim.waiting").info("waiting for the folder {}: {}", folder, monitor.why or problem)
         await anyio.sleep(_LOOK_S)
--- a/calicohitch/recovery/reading.py
+++ b/calicohitch/recovery/reading.py
@@ -22,11 +22,11 @@
 
 
 @dataclass
-class Life:
+class Incarnation:
     """One return of one relay: milliseconds by phase, counts by second."""
 
     relay: str
-    life: int = 0
+    number: int = 0
     phases: dict[str, float] = field(default_factory=dict)
     facts: dict[str, int] = field(default_factory=dict)
     seconds: dict[int, dict[str, int]] = field(default_factory=dict)
@@ -34,22 +34,22 @@
     def told(self) -> dict[str, Any]:
         return {
             "relay": self.relay,
-            "life": self.life,
+            "life": self.number,
             "phases_ms": self.phases,
             "facts": self.facts,
             "seconds": {str(second): counts for second, counts in sorted(self.seconds.items())},
         }
 
 
-def read(relay: str, lines: Iterable[str]) -> list[Life]:
+def read(relay: str, lines: Iterable[str]) -> list[Incarnation]:
     """The returns of one log, in its order; what is none of theirs is skipped."""
-    lives: list[Life] = []
+    incarnations: list[Incarnation] = []
     for line in lines:
         if "has the folder" in line and (found := _LIFE.search(line)):
-            lives.append(Life(relay, int(found[1])))
-        elif "return: " in line and lives:
-            _take(lives[-1], _text(line))
-    return [life for life in lives if life.phases]
+            incarnations.append(Incarnation(relay, int(found[1])))
+        elif "return: " in line and incarnations:
+            _take(incarnations[-1], _text(line))
+    return [incarnation for incarnation in incarnations if incarnation.phases]
 
 
 def _text(line: str) -> str:
@@ -63,27 +63,29 @@
     return line
 
 
-def _take(life: Life, text: str) -> None:
+def _take(incarnation: Incarnation, text: str) -> None:
     if found := _PHASE.search(text):
         if found[1] in PHASES:
-            life.phases[found[1]] = float(found[2])
-            life.facts |= {name: int(count) for count, name in _PAIR.findall(found[3] or "")}
+            incarnation.phases[found[1]] = float(found[2])
+            incarnation.facts |= {name: int(count) for count, name in _PAIR.findall(found[3] or "")}
     elif found := _SECOND.search(text):
-        life.seconds[int(found[1])] = {name: int(count) for count, name in _PAIR.findall(found[2]) if name in KINDS}
+        incarnation.seconds[int(found[1])] = {
+            name: int(count) for count, name in _PAIR.findall(found[2]) if name in KINDS
+        }
 
 
-def fleet(lives: list[Life]) -> dict[str, Any]:
+def fleet(incarnations: list[Incarnation]) -> dict[str, Any]:
     """Of all returns: median and worst milliseconds to each phase, how many reached it, counts by second."""
     phases = {}
     for phase in PHASES:
-        if at := sorted(life.phases[phase] for life in lives if phase in life.phases):
+        if at := sorted(incarnation.phases[phase] for incarnation in incarnations if phase in incarnation.phases):
             phases[phase] = {"reached": len(at), "median_ms": statistics.median(at), "worst_ms": at[-1]}
     seconds: dict[int, Counter[str]] = {}
-    for life in lives:
-        for second, counts in life.seconds.items():
+    for incarnation in incarnations:
+        for second, counts in incarnation.seconds.items():
             seconds.setdefault(second, Counter()).update(counts)
     return {
-        "returns": len(lives),
+        "returns": len(incarnations),
         "phases": phases,
         "seconds": {str(second): dict(seconds[second]) for second in sorted(seconds)},
     }
--- a/calicohitch/recovery/recovery_phases.py
+++ b/calicohitch/recovery/recovery_phases.py
@@ -48,12 +48,12 @@
 
 
 class Recovery:
-    """One relay's return. Feed it what happens; `news` gives what is to be told since it was last asked."""
+    """One relay's return. Feed it what happens; `new_phases` gives what is to be told since it was last asked."""
 
     def __init__(self, up: float) -> None:
         self._up = up
         self._passed: dict[RecoveryPhase, PhaseReached] = {}
-        self._news: list[PhaseReached] = []
+        self._new_phases: list[PhaseReached] = []
         self._restored: set[int] = set()
         self._untried: set[int] = set()  # restored messages that were owed a call, and had none yet
         self._tried = self._unseen = 0  # how many of those had one, and were given up without
@@ -103,7 +103,7 @@
         self._counts[what] += 1
         self._look(now)
 
-    def news(self, now: float) -> list[PhaseReached]:
+    def new_phases(self, now: float) -> list[PhaseReached]:
         """What passed since the last call."""
         if not self.over:
             self._roll(now)
@@ -112,7 +112,7 @@
                 self._pass(RecoveryPhase.UNENDED, now, restored=len(self._restored), untold=len(self._untold))
         elif self._counts:
             self._close_second()
-        told, self._news = self._news, []
+        told, self._new_phases = self._new_phases, []
         self.told = self.over
         return told
 
@@ -130,7 +130,7 @@
     def _pass(self, phase: RecoveryPhase, now: float, **facts: int) -> None:
         if phase not in self._passed:
             self._passed[phase] = passed = PhaseReached(phase, max(0.0, now - self._up), facts)
-            self._news.append(passed)
+            self._new_phases.append(passed)
             self.over = self.over or phase in (RecoveryPhase.FULL, RecoveryPhase.UNENDED)
 
     def _roll(self, now: float) -> None:
--- a/calicohitch/recovery/state_cache.py
+++ b/calicohitch/recovery/state_cache.py
@@ -26,8 +26,8 @@
 class StateCache:
     """One relay's stored beliefs. `read` once at the start, `keep` now and then."""
 
-    def __init__(self, folder: Path, life: int, classes: Sequence[str], waits_outlast: bool = False) -> None:
-        self._keeper, self._life, self._classes = StateFiles(folder), life, classes
+    def __init__(self, folder: Path, incarnation: int, classes: Sequence[str], waits_outlast: bool = False) -> None:
+        self._keeper, self._incarnation, self._classes = StateFiles(folder), incarnation, classes
         self._waits_outlast = waits_outlast
         self._kept_at = -_EVERY_MS
         self._failed = False
@@ -133,7 +133,7 @@
         on_time = dict(zip(self._classes, known.on_time, strict=True))
         told = cached_state.CachedState(
             clocks.now(wall),
-            self._life,
+            self._incarnation,
             discovery,
             -1 if revision is None else revision,
             tuple(members()),
--- a/calicohitch/service.py
+++ b/calicohitch/service.py
@@ -23,7 +23,7 @@
 from .intake.clients import Clients
 from .net.http import listen
 from .net.relay import Relay
-from .recovery.folder_lease import RENEW_S, FolderLease, claimed
+from .recovery.folder_lease import RENEW_S, FolderLease, acquire_folder
 from .recovery import clocks
 from .recovery.state_cache import StateCache
 from .recovery.problems import FolderFailing, FolderLost, FolderProblem, unusable
@@ -55,16 +55,16 @@
     async with heeded() as told:
         with anyio.CancelScope() as starting:  # nothing is owed before the folder is this life's
             told.on_stop = starting.cancel
-            claim = await claimed(config.state, operator.recovery.folder_wait_ms / 1e3)
+            lease = await acquire_folder(config.state, operator.recovery.folder_wait_ms / 1e3)
         told.on_stop = lambda: None
         if starting.cancelled_caught:
             return
         try:
-            await _serve(config, reload, clock, operator, claim, up_at, told)
+            await _serve(config, reload, clock, operator, lease, up_at, told)
         finally:
-            claim.close()
-    if claim.lost:
-        raise FolderLost(claim.lost)
+            lease.close()
+    if lease.lost:
+        raise FolderLost(lease.lost)
 
 
 async def _serve(
@@ -72,17 +72,19 @@
     reload: Callable[[], Config] | None,
     clock: Clock,
     operator: Operator,
-    claim: FolderLease,
+    lease: FolderLease,
     up_at: float,
     told: SignalState,
 ) -> None:
     """One life, on the folder that it has claimed."""
-    logger.bind(event="claim.taken", life=claim.life).info("life {} has the folder {}", claim.life, config.state)
-    journal = await _journal(config, clock, claim, operator.recovery.folder_wait_ms / 1e3)
+    logger.bind(event="claim.taken", life=lease.incarnation).info(
+        "life {} has the folder {}", lease.incarnation, config.state
+    )
+    journal = await _journal(config, clock, lease, operator.recovery.folder_wait_ms / 1e3)
     tracer = _tracer(config, clock, operator)
     grpc = operator.grpc
-    takeover = _takeover(config, clock, operator, claim, journal)
-    memory = StateCache(config.state, claim.life, config.names.classes, operator.recovery.waits_outlast)
+    takeover = _takeover(config, clock, operator, lease, journal)
+    memory = StateCache(config.state, lease.incarnation, config.names.classes, operator.recovery.waits_outlast)
     if grpc:  # its connections, on both sides, take part in the one limit of descriptors
         relay = Relay(
             config,
@@ -105,7 +107,7 @@
         calls = _grpc(relay, grpc, config, clock, stack) if grpc else None
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(_hold, claim, tasks.cancel_scope)
+                tasks.start_soon(_hold, lease, tasks.cancel_scope)
                 if takeover:
                     takeover.on_ended = tasks.cancel_scope.cancel
                 tasks.start_soon(relay.run)
@@ -140,7 +142,7 @@
         raise takeover.ended
 
 
-async def _journal(config: Config, clock: Clock, claim: FolderLease, wait_s: float) -> Journal:
+async def _journal(config: Config, clock: Clock, lease: FolderLease, wait_s: float) -> Journal:
     """The journal, read whole. What cannot be read for a moment is tried again, so long at most, and then left out."""
     until = anyio.current_time() + wait_s
     while True:
@@ -149,8 +151,8 @@
             return Journal(
                 config.state,
                 config.limits.disk_mb * _MB,
-                claim.life,
-                claim.check,
+                lease.incarnation,
+                lease.check,
                 clocks.now(clock.now()),
                 complete=not last,
             )
@@ -186,16 +188,16 @@
     await takeover.hand_over(_HAND_OVER_S)
 
 
-async def _hold(claim: FolderLease, everything: anyio.CancelScope) -> None:
+async def _hold(lease: FolderLease, everything: anyio.CancelScope) -> None:
     """Keep the claim on the folder; once a later life has it, end at once and leave all that is open to that one."""
 
     def end() -> None:
-        logger.bind(event="claim.lost", life=claim.life).error("{}", claim.lost)
+        logger.bind(event="claim.lost", life=lease.incarnation).error("{}", lease.lost)
         everything.cancel()
 
-    claim.on_lost = end
-    while not claim.lost:
-        claim.renew()
+    lease.on_lost = end
+    while not lease.lost:
+        lease.renew()
         await anyio.sleep(RENEW_S)
 
 
@@ -222,7 +224,7 @@
 
 
 def _takeover(
-    config: Config, clock: Clock, operator: Operator, claim: FolderLease, journal: Journal
+    config: Config, clock: Clock, operator: Operator, lease: FolderLease, journal: Journal
 ) -> FailoverManager | None:
     """Copies and the fleet, where the operators' file has it."""
     if operator.fleet is None:
@@ -238,7 +240,7 @@
         )
     store = EtcdStore(settings.store, settings.store_timeout_ms)
     return FailoverManager(
-        settings, config.name, claim.life, config.names.classes, config.state, store, clock.now, journal.may_act
+        settings, config.name, lease.incarnation, config.names.classes, config.state, store, clock.now, journal.may_act
     )
 
 
--- a/calicohitch/tracing/export/collector.py
+++ b/calicohitch/tracing/export/collector.py
@@ -40,16 +40,16 @@
         self._retry = Retry(seed, settings.give_up_ms)
         self._server = KeptConnection(settings.address, _MAX_ANSWER)
         self._failing = self.stopping = False
-        self._news = ChangeNotifier()
+        self._changes = ChangeNotifier()
 
     def offer(self, spans: list[Span]) -> None:
         self.queue.put(proto_spans(spans))
-        self._news.tell()
+        self._changes.notify()
 
     async def run(self) -> None:
         while True:
             if (batch := self.queue.batch(self._clock.now(), self._set.batch_bytes)) is None:
-                await self._news.wait()
+                await self._changes.wait()
                 await anyio.sleep(0 if self.stopping else _GATHER_S)
                 continue
             await self._settle(batch)
--- a/calicohitch/tracing/export/file.py
+++ b/calicohitch/tracing/export/file.py
@@ -33,11 +33,11 @@
         self._set, self._clock, self._resource, self._scope = settings, clock, resource, scope
         self.queue = ExportQueue(settings.queue_bytes)
         self._failing = self.stopping = False
-        self._news = ChangeNotifier()
+        self._changes = ChangeNotifier()
 
     def offer(self, spans: list[Span]) -> None:
         self.queue.put(json_line(spans, self._resource, self._scope()))
-        self._news.tell()
+        self._changes.notify()
 
     async def run(self) -> None:
         while True:
@@ -46,7 +46,7 @@
             if self._failing and not self.stopping:
                 await anyio.sleep(_TRY_AGAIN_S)
             elif not len(self.queue):
-                await self._news.wait()
+                await self._changes.wait()
                 await anyio.sleep(0 if self.stopping else _GATHER_S)
 
     async def _one(self) -> bool:
--- a/calicohitch/tracing/facts.py
+++ b/calicohitch/tracing/facts.py
@@ -45,7 +45,7 @@
     outcome: Outcome | None = None
     wait: float = 0.0  # milliseconds told
     cut: bool = False
-    earlier_life: bool = False
+    earlier_incarnation: bool = False
 
     def note(self, answered: bool, now: float) -> None:
         if answered:
--- a/calicohitch/tracing/spans.py
+++ b/calicohitch/tracing/spans.py
@@ -197,7 +197,7 @@
                 told[error_attributes.ERROR_TYPE] = str(attempt.status or attempt.outcome.name.lower())
         if attempt.wait:
             told["calicohitch.told_wait_ms"] = attempt.wait
-        if attempt.earlier_life:
+        if attempt.earlier_incarnation:
             told["calicohitch.earlier_life"] = True
         if attempt.cut:
             told["calicohitch.cut"] = True
@@ -207,7 +207,7 @@
 
 
 def _tell_marks(attempt: AttemptFacts, span: Span) -> None:
-    if attempt.earlier_life:
+    if attempt.earlier_incarnation:
         return  # that life kept them to itself
     span.attributes["calicohitch.connection"] = "warm" if attempt.warm else "new"
     span.attributes[network_attributes.NETWORK_PROTOCOL_NAME] = "http"
@@ -223,7 +223,7 @@
     if attempt.ended_at:
         return attempt.ended_at
     later = [a.started_at for a in facts.attempts if a.started_at > attempt.started_at]
-    if attempt.earlier_life:
+    if attempt.earlier_incarnation:
         later.append(facts.recovered_at)
     return min((at for at in later if at), default=make.high / 1e6)
 
@@ -232,7 +232,7 @@
     if facts.journal_ms >= _SLOW_JOURNAL_MS:
         yield make.span("journal", "journal", INTERNAL, facts.taken_at, facts.taken_at + facts.journal_ms)
     if facts.recovered_at:
-        before = [a.started_at for a in facts.attempts if a.earlier_life]
+        before = [a.started_at for a in facts.attempts if a.earlier_incarnation]
         last = max([facts.taken_at, *before])
         span = make.span(f"recovery {facts.recovered_at}", "recovery", INTERNAL, last, facts.recovered_at)
         span.attributes["calicohitch.attempts_of_earlier_lives"] = len(before)
--- a/calicohitch/tracing/tracer.py
+++ b/calicohitch/tracing/tracer.py
@@ -239,7 +239,7 @@
         facts.body_size = len(entry.body)
         for was in entry.attempts:
             cut = was.may_have_run and not was.settled
-            facts.attempts.append(AttemptFacts(was.sent_at, zone=was.zone, cut=cut, earlier_life=True))
+            facts.attempts.append(AttemptFacts(was.sent_at, zone=was.zone, cut=cut, earlier_incarnation=True))
         self._live[entry.number] = facts
         self._dest(entry.dest).live += 1
         if entry.end:
--- a/calicohitch/wire/http2.py
+++ b/calicohitch/wire/http2.py
@@ -62,15 +62,15 @@
         self.headers: Headers | None = None
         self.trailers: Headers | None = None
         self._chunks: deque[tuple[bytes, int]] = deque()  # data, and what it took of the window
-        self.news = ChangeNotifier()  # of what the peer sent, or that the stream is over
+        self.changes = ChangeNotifier()  # of what the peer sent, or that the stream is over
         self._room = ChangeNotifier()  # that sending may go on
         self.remote_ended = self.local_ended = False
         self.reset: StreamReset | None = None
         self.owed = 0  # bytes of its window that were taken and are not given back yet
 
     def _tell(self) -> None:
-        self.news.tell()
-        self._room.tell()
+        self.changes.notify()
+        self._room.notify()
 
     @property
     def over(self) -> bool:
@@ -82,7 +82,7 @@
         while self.headers is None:
             if self.reset:
                 raise self.reset
-            await self.news.wait()
+            await self.changes.wait()
         return self.headers
 
     async def receive(self) -> bytes | None:
@@ -92,7 +92,7 @@
                 raise self.reset
             if self.remote_ended:
                 return None
-            await self.news.wait()
+            await self.changes.wait()
         data, size = self._chunks.popleft()
         if not self.remote_ended:
             await self._connection.taken(self, size)
@@ -408,7 +408,7 @@
                 if isinstance(event, h2.events.RemoteSettingsChanged):
                     self._count(Act.SETTINGS)
                 for stream in list(self.streams.values()):
-                    stream._room.tell()
+                    stream._room.notify()
             case h2.events.PingReceived():
                 self._count(Act.PING)
             case h2.events.ConnectionTerminated():
--- a/tests/failover/model.py
+++ b/tests/failover/model.py
@@ -94,13 +94,13 @@
         self.away: set[str] = set()  # cut off from the store
         self.deaf: set[str] = set()  # the answer to the next transaction is lost
         self.acted: dict[str, list[tuple[str, int, int]]] = {}  # id -> relay, life, attempts known before
-        self.lives = 0
+        self.incarnations = 0
         self.holdings = 0
         self.saved = self.store.copied()
 
     def begin(self, name: str) -> None:
-        self.lives += 1
-        self.up[name] = Process(self, name, self.lives)
+        self.incarnations += 1
+        self.up[name] = Process(self, name, self.incarnations)
 
     def zones(self) -> dict[str, str]:
         return dict.fromkeys(self.disks, "")
@@ -109,13 +109,13 @@
 class Process:
     """One life of a relay."""
 
-    def __init__(self, world: World, name: str, life: int) -> None:
-        self.world, self.name, self.life = world, name, life
+    def __init__(self, world: World, name: str, incarnation: int) -> None:
+        self.world, self.name, self.incarnation = world, name, incarnation
         self.disk = world.disks[name]
         self.roster = Roster(KEYS)
         self.term = LeaseTerm(TTL, 50.0)
         self.proof = LeaseValidity(self.term)
-        self.tenure = Ownership(KEYS, name, PARTS, Member(0, life, name))
+        self.tenure = Ownership(KEYS, name, PARTS, Member(0, incarnation, name))
         self.claims = Claims(name, self.term, 0.0, self.now())
         self.copying = Replication(PARTS, world.copies)
         self.wires: dict[str, Wire] = {}
@@ -142,7 +142,7 @@
         before = self.roster.generation
         self.roster.replace(seen, self.now())
         if back and self.roster.generation in ("", before) or not self.roster.generation:
-            self.commit(self.tenure.generate(self.roster, f"g{self.world.lives}.{self.world.time}.{self.name}"))
+            self.commit(self.tenure.generate(self.roster, f"g{self.world.incarnations}.{self.world.time}.{self.name}"))
             self.roster.replace(self.world.store.read_now(KEYS.prefix), self.now())
         if self.tenure.epoch and (why := self.tenure.look(self.roster)):
             self.proof.passed, self.done = why, True
@@ -206,7 +206,7 @@
                 self.mine[message.id] = message
 
     def _open(self, message: Message) -> None:
-        number = self.numbers[message.id] = len(self.numbers) + 1 + self.life * 1_000
+        number = self.numbers[message.id] = len(self.numbers) + 1 + self.incarnation * 1_000
         self.copying.open(number, part_of(message.id, PARTS), True, message.payloads)
 
     def _renew(self) -> None:
@@ -359,7 +359,7 @@
         """The attempt's first byte, if it may leave."""
         message = self.mine[wire_id]
         if message.attempts and self.may_act(wire_id):
-            self.world.acted.setdefault(wire_id, []).append((self.name, self.life, message.attempts))
+            self.world.acted.setdefault(wire_id, []).append((self.name, self.incarnation, message.attempts))
 
     # Others' work.
 
--- a/tests/failover/test_model.py
+++ b/tests/failover/test_model.py
@@ -161,9 +161,9 @@
                     assert wire_id not in able, f"{wire_id}: {able[wire_id]} and {name} may act on it at once"
                     able[wire_id] = name
         for wire_id, acts in self.world.acted.items():
-            lives = [life for _, life, _ in acts]
-            order = list(dict.fromkeys(lives))
-            assert lives == sorted(lives, key=order.index), f"{wire_id}: {acts}"
+            incarnations = [incarnation for _, incarnation, _ in acts]
+            order = list(dict.fromkeys(incarnations))
+            assert incarnations == sorted(incarnations, key=order.index), f"{wire_id}: {acts}"
             attempts = [known for _, _, known in acts]
             assert attempts == sorted(attempts), f"{wire_id} was acted on by one that did not know all: {acts}"
 
--- a/tests/faults/test_folder.py
+++ b/tests/faults/test_folder.py
@@ -19,7 +19,7 @@
 from world import World, in_world, play
 
 from calicohitch.journal import Entry, Journal
-from calicohitch.recovery.folder_lease import EXPIRED_S, LeaseMonitor, claimed
+from calicohitch.recovery.folder_lease import EXPIRED_S, LeaseMonitor, acquire_folder
 from calicohitch.recovery.problems import FolderLost, FolderProblem
 
 AWAY_S = 0.6
@@ -57,9 +57,9 @@
             with self.subTest(call=name, error=errno.errorcode[error]):
                 LeaseMonitor(self.folder).look().close()  # type: ignore[union-attr]
                 with mock.patch.object(os, name, for_a_while(getattr(os, name), error)):
-                    claim = anyio.run(claimed, self.folder, 5.0)
-                claim.check()
-                claim.close()
+                    lease = anyio.run(acquire_folder, self.folder, 5.0)
+                lease.check()
+                lease.close()
 
     def test_it_says_at_once_what_no_waiting_mends(self) -> None:
         for error in (errno.EROFS, errno.EACCES):
@@ -68,7 +68,7 @@
                 mock.patch.object(os, "open", side_effect=OSError(error, os.strerror(error))),
                 self.assertRaises(FolderProblem),
             ):
-                anyio.run(claimed, self.folder, 5.0)
+                anyio.run(acquire_folder, self.folder, 5.0)
             self.assertLess(time.monotonic() - began, 1.0)
 
     def test_a_segment_that_cannot_be_read_for_a_moment_is_read(self) -> None:
@@ -107,14 +107,14 @@
         self.folder = Path(made.name) / "state"
         self.mono, self.wall = Time(), Time(1_000.0)
 
-    def watcher(self) -> LeaseMonitor:
+    def monitor(self) -> LeaseMonitor:
         return LeaseMonitor(self.folder, self.mono, self.wall)
 
     def test_a_claim_is_proved_without_the_disk(self) -> None:
-        owner = self.watcher().look()
+        owner = self.monitor().look()
         assert owner
         self.addCleanup(owner.close)
-        journal = Journal(self.folder, 3e6, owner.life, owner.check)
+        journal = Journal(self.folder, 3e6, owner.incarnation, owner.check)
         self.addCleanup(journal.close)
         refuses = mock.Mock(side_effect=OSError(errno.EIO, "Input/output error"))
         for names in (("pwrite",), ("pwrite", "open"), ("pwrite", "open", "listdir")):
@@ -130,7 +130,7 @@
 
     def test_a_life_that_was_begun_in_vain_takes_nothing_away(self) -> None:
         """The disk lets neither the owner's file go nor the new one: the owner goes on, and is still in the way."""
-        owner, other = self.watcher().look(), self.watcher()
+        owner, other = self.monitor().look(), self.monitor()
         assert owner
         self.addCleanup(owner.close)
         self.assertIsNone(other.look())
@@ -141,15 +141,15 @@
         owner.check()
         owner.renew()
         owner.check()
-        third = self.watcher()
+        third = self.monitor()
         self.assertIsNone(third.look())
-        self.assertIn(f"life {owner.life} ", third.why)
+        self.assertIn(f"life {owner.incarnation} ", third.why)
 
     def test_whoever_was_replaced_meanwhile_sends_nothing(self) -> None:
-        owner, other = self.watcher().look(), self.watcher()
+        owner, other = self.monitor().look(), self.monitor()
         assert owner
         self.addCleanup(owner.close)
-        journal = Journal(self.folder, 3e6, owner.life, owner.check)
+        journal = Journal(self.folder, 3e6, owner.incarnation, owner.check)
         self.addCleanup(journal.close)
         refuses = OSError(errno.EIO, "Input/output error")
         real = os.pwrite
--- a/tests/faults/test_notes.py
+++ b/tests/faults/test_notes.py
@@ -23,13 +23,13 @@
             peers = Peers(here, (here,), here, lambda peer, data: heard.append((peer, data)))
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(peers.run)
-                peers.tell(None, b"lost")  # nobody can be told yet, and nothing breaks
+                peers.send(None, b"lost")  # nobody can be told yet, and nothing breaks
                 await anyio.sleep(0.1)
                 other.close()
 
                 async def tell() -> None:
                     while not heard:
-                        peers.tell(0, b"word")
+                        peers.send(0, b"word")
                         await anyio.sleep(0.02)
 
                 tasks.start_soon(tell)
--- a/tests/faults/test_sweep.py
+++ b/tests/faults/test_sweep.py
@@ -91,17 +91,17 @@
     """A start, made again while the folder refuses; as `service` does it."""
     problem: Exception | None = None
     for _ in range(TRIES):
-        claim: FolderLease | None = None
+        lease: FolderLease | None = None
         try:
-            claim = LeaseMonitor(folder).look()
-            if claim is None:
+            lease = LeaseMonitor(folder).look()
+            if lease is None:
                 raise Broken("the folder's owner is dead, and in the way")
-            opened = Journal(folder, DISK, claim.life, claim.check, complete=True)
-            return claim, opened, StateCache(folder, claim.life, ("orders",))
+            opened = Journal(folder, DISK, lease.incarnation, lease.check, complete=True)
+            return lease, opened, StateCache(folder, lease.incarnation, ("orders",))
         except (FolderFailing, OSError) as err:
             problem = err
-            if claim:
-                claim.close()
+            if lease:
+                lease.close()
     raise Broken(f"service does not come back: {problem}")
 
 
@@ -109,13 +109,13 @@
     """Two earlier lives, killed with work in hand, of whose oldest segment one byte was damaged: the messages they
     left."""
     for count in (1, 7):
-        claim, journal, memory = began(folder)
+        lease, journal, memory = began(folder)
         for _ in range(count):
             journal.taken(entry(journal.next_number))
         left = set(journal._home)
         memory.keep(1e12, RestoredState((), ((1, 2),)), str, "d", 1, list)
         journal.close()
-        claim.close()
+        lease.close()
     oldest = min(folder.glob("journal-*.log"))
     data = bytearray(oldest.read_bytes())
     data[-BODY_FROM_END] ^= 1
@@ -128,7 +128,7 @@
 
     def __init__(self, folder: Path, known: Known) -> None:
         self.folder, self.known = folder, known
-        self.claim, self.journal, self.memory = began(folder)
+        self.lease, self.journal, self.memory = began(folder)
         self.memory.read(1e12, "d", -1)
         if set(self.journal.entries) != known.taken:
             raise Broken(f"of {sorted(known.taken)} a start knows {sorted(self.journal.entries)}")
@@ -137,7 +137,7 @@
         for step in range(MESSAGES):
             self._take(step)
             if step % 3 == 0:
-                self.claim.renew()
+                self.lease.renew()
                 self.memory.keep(1e12 + step * 2_000.0, RestoredState((), ((1, 2),)), str, "d", 1, list)
             for number in sorted(self.known.taken)[-3:]:
                 self._try(number)
@@ -180,8 +180,8 @@
 
     def serves_again(self) -> None:
         """The disk takes everything by now: so does the journal."""
-        if not self.claim.lost:
-            self.claim.check()
+        if not self.lease.lost:
+            self.lease.check()
         for _ in range(2):
             number = self.journal.next_number
             self.journal.taken(entry(number))
@@ -191,14 +191,14 @@
 
     def kill(self) -> None:
         """As the kernel ends a process: descriptors go, and nothing is written any more."""
-        for fd in (self.journal._fd, self.claim._fd):
+        for fd in (self.journal._fd, self.lease._fd):
             if fd >= 0:
                 os.close(fd)
 
 
 def judge(known: Known, folder: Path) -> None:
     """What the next life knows, held against what the last one was told is done."""
-    claim, later, memory = began(folder)
+    lease, later, memory = began(folder)
     try:
         memory.read(1e12, "d", -1)
         entries = later.entries
@@ -219,7 +219,7 @@
             raise Broken(f"damage that no disk did: {damage}")
     finally:
         later.close()
-        claim.close()
+        lease.close()
 
 
 def played(kind: str, number: int, error: int, times: int, of: type[Nth] = Nth) -> tuple[int, int]:
--- a/tests/faults/test_time.py
+++ b/tests/faults/test_time.py
@@ -43,11 +43,11 @@
             first.close()
             for n, step in enumerate((-60.0, 500.0)):
                 with mock.patch.object(time, "time", lambda step=step: real() + step):
-                    life = Journal(Path(folder), 3e6)
+                    incarnation = Journal(Path(folder), 3e6)
                     now = Clock().now()
-                    self.assertAlmostEqual((life.entries[1].deadline - now) / 1e3, 30.0, delta=0.2)
-                    life.attempt(1, n, now, 0)
-                    life.close()
+                    self.assertAlmostEqual((incarnation.entries[1].deadline - now) / 1e3, 30.0, delta=0.2)
+                    incarnation.attempt(1, n, now, 0)
+                    incarnation.close()
             last = Journal(Path(folder), 3e6)
             self.addCleanup(last.close)
             sent = [was.sent_at - started for was in last.entries[1].attempts]
--- a/tests/intake/test_admission.py
+++ b/tests/intake/test_admission.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from calicohitch.intake.admission.keeping import Keeping
-from calicohitch.core.descriptor_budget import DescriptorUse, DescriptorBudget, shared_out
+from calicohitch.core.descriptor_budget import DescriptorUse, DescriptorBudget, divide_descriptors
 from calicohitch.intake.admission.load import Load, LoadLimits
 from calicohitch.intake.admission.queue import FairQueue
 from calicohitch.intake.admission.shares import HALF_LIFE_MS, Caps, Shares, Trusted, Verdict
@@ -81,37 +81,37 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.leases = DescriptorBudget(12, {DescriptorUse.CALLS: 4, DescriptorUse.NOTICES: 1})
+        self.descriptors = DescriptorBudget(12, {DescriptorUse.CALLS: 4, DescriptorUse.NOTICES: 1})
 
     @rule(holder=st.sampled_from(DescriptorUse))
     def take(self, holder: DescriptorUse) -> None:
-        free = self.leases.free_for(holder)
-        assert self.leases.take(holder) is (free > 0)
+        free = self.descriptors.free_for(holder)
+        assert self.descriptors.take(holder) is (free > 0)
 
-    @precondition(lambda self: self.leases.held.total())
+    @precondition(lambda self: self.descriptors.held.total())
     @rule(data=st.data())
     def give_back(self, data: st.DataObject) -> None:
-        self.leases.give_back(data.draw(st.sampled_from([h for h in DescriptorUse if self.leases.held[h]])))
+        self.descriptors.give_back(data.draw(st.sampled_from([h for h in DescriptorUse if self.descriptors.held[h]])))
 
     @invariant()
     def bounds_hold(self) -> None:
-        leases = self.leases
-        assert leases.held.total() <= leases.total
-        assert leases.held[DescriptorUse.CALLS] >= 4 or leases.free_for(DescriptorUse.CALLS)
-        assert leases.held[DescriptorUse.NOTICES] >= 1 or leases.free_for(DescriptorUse.NOTICES)
+        descriptors = self.descriptors
+        assert descriptors.held.total() <= descriptors.total
+        assert descriptors.held[DescriptorUse.CALLS] >= 4 or descriptors.free_for(DescriptorUse.CALLS)
+        assert descriptors.held[DescriptorUse.NOTICES] >= 1 or descriptors.free_for(DescriptorUse.NOTICES)
 
 
 class Shared(unittest.TestCase):
     def test_a_relays_budget_adds_up_and_calls_have_what_clients_and_others_leave(self) -> None:
         for sockets, grpc in ((384, 0), (1_024, 256), (4_096, 1_024)):
-            leases = shared_out(sockets, grpc)
-            self.assertEqual(leases.total, sockets)
-            self.assertEqual(leases.free_for(DescriptorUse.CLIENTS), sockets // 2)
-            self.assertEqual(leases.free_for(DescriptorUse.CALLS), sockets - sockets // 2 - 24 - grpc)
-            while leases.take(DescriptorUse.CLIENTS):
+            descriptors = divide_descriptors(sockets, grpc)
+            self.assertEqual(descriptors.total, sockets)
+            self.assertEqual(descriptors.free_for(DescriptorUse.CLIENTS), sockets // 2)
+            self.assertEqual(descriptors.free_for(DescriptorUse.CALLS), sockets - sockets // 2 - 24 - grpc)
+            while descriptors.take(DescriptorUse.CLIENTS):
                 pass
-            self.assertTrue(leases.take(DescriptorUse.CALLS) and leases.take(DescriptorUse.NOTICES))
-            self.assertIn(f"clients {sockets // 2}", leases.told())
+            self.assertTrue(descriptors.take(DescriptorUse.CALLS) and descriptors.take(DescriptorUse.NOTICES))
+            self.assertIn(f"clients {sockets // 2}", descriptors.told())
         self.assertRaises(ValueError, DescriptorBudget(1, {}).give_back, DescriptorUse.CALLS)
         self.assertRaises(ValueError, DescriptorBudget, 1, {DescriptorUse.CALLS: 2})
 
--- a/tests/intake/test_clients.py
+++ b/tests/intake/test_clients.py
@@ -77,7 +77,7 @@
                 sock.close()
             await until(lambda: not clients.shares.taken)
             await until(lambda: relay.idle)
-            held = relay.leases.held
+            held = relay.descriptors.held
             idle = sum(map(len, relay._endpoints._idle.values()))
             self.assertEqual(
                 (held[DescriptorUse.CLIENTS], held[DescriptorUse.CALLS], held[DescriptorUse.DISCOVERY]), (0, idle, 1)
--- a/tests/orders/test_restart.py
+++ b/tests/orders/test_restart.py
@@ -187,7 +187,7 @@
         async with world.relay(settings=told, known=known) as relay:
             await until(lambda: len(world.endpoint.requests) + len(world.notices) >= count)
             await until(lambda: not relay._open)
-            counted = relay.came_back
+            counted = relay.recovery
         tried = {request.headers[b"req-id"].decode() for request in world.endpoint.requests}
         self.assertEqual((len(tried), world.notices), (count, []))
         self.assertEqual((counted._tried, counted._unseen), (count, 0))  # as the log tells
--- a/tests/recovery/test_cached_state.py
+++ b/tests/recovery/test_cached_state.py
@@ -150,7 +150,7 @@
             pass
 
         keeper = StateFiles(self.folder)
-        old, new = encode(known()), encode(known(life=8))
+        old, new = encode(known()), encode(known(incarnation=8))
         real = {name: getattr(os, name) for name in ("open", "write", "close")}
         for last in range(5):
             keeper.write(old)
@@ -173,7 +173,7 @@
                     pass
             read = StateFiles(self.folder).read()
             assert read
-            self.assertEqual(read.life, 8 if last >= 2 else 7)  # once it is written, closing it is no matter
+            self.assertEqual(read.incarnation, 8 if last >= 2 else 7)  # once it is written, closing it is no matter
 
     def test_a_disk_that_fills_keeps_what_was_there(self) -> None:
         keeper = StateFiles(self.folder)
@@ -186,12 +186,12 @@
             raise OSError(errno.ENOSPC, "full")
 
         with mock.patch("os.write", fills), self.assertRaises(OSError):
-            keeper.write(encode(known(life=9)))
+            keeper.write(encode(known(incarnation=9)))
         with mock.patch("os.open", side_effect=OSError(errno.ENOSPC, "full")), self.assertRaises(OSError):
-            keeper.write(encode(known(life=9)))
+            keeper.write(encode(known(incarnation=9)))
         read = keeper.read()
         assert read
-        self.assertEqual(read.life, 7)
+        self.assertEqual(read.incarnation, 7)
 
     def test_nothing_is_renamed_or_cut(self) -> None:
         """With a busy disk a rename over the old file held the relay for up to 1.2 s (ext4)."""
@@ -200,18 +200,18 @@
         real = os.open
         counted = mock.patch("os.open", lambda path, how, mode=0: flags.append(how) or real(path, how, mode))
         with mock.patch("os.replace", side_effect=AssertionError), counted:
-            for life in range(5):
-                keeper.write(encode(known(life=life)))
-            keeper.write(encode(known(life=5, members=())))  # shorter than what it is written over
+            for incarnation in range(5):
+                keeper.write(encode(known(incarnation=incarnation)))
+            keeper.write(encode(known(incarnation=5, members=())))  # shorter than what it is written over
         self.assertFalse(any(how & os.O_TRUNC for how in flags))
         read = StateFiles(self.folder).read()
         assert read
-        self.assertEqual((read.life, read.members), (5, ()))
+        self.assertEqual((read.incarnation, read.members), (5, ()))
         (newest,) = [path for path in self.folder.iterdir() if b'"life":5' in path.read_bytes()]
         newest.write_bytes(newest.read_bytes()[:40])  # torn: the one before holds
         older = StateFiles(self.folder).read()
         assert older
-        self.assertEqual(older.life, 4)
+        self.assertEqual(older.incarnation, 4)
 
     def test_from_one_life_to_the_next(self) -> None:
         wall, mono = 1_000_000.0, mock.patch.object(clocks.time, "monotonic", side_effect=(50.0, 50.5))
--- a/tests/recovery/test_corpus.py
+++ b/tests/recovery/test_corpus.py
@@ -27,11 +27,11 @@
         self.addCleanup(made.cleanup)
         self.folder = Path(made.name)
 
-    def opened(self, data: bytes, life: int = 0) -> Journal:
+    def opened(self, data: bytes, incarnation: int = 0) -> Journal:
         for path in self.folder.iterdir():
             path.unlink()
         (self.folder / "journal-00000001.log").write_bytes(data)
-        return Journal(self.folder, 3e6, life)
+        return Journal(self.folder, 3e6, incarnation)
 
     def test_each_file_tells_what_it_told(self) -> None:
         self.assertEqual({path.name for path in FILES}, TOLD.keys())
@@ -74,7 +74,7 @@
                     else:
                         data[at : at + 2 * length] = data[at + length : at + 2 * length] + data[at : at + length]
                 with self.subTest(path.name, n=n):
-                    known = self.opened(bytes(data), life=3)
+                    known = self.opened(bytes(data), incarnation=3)
                     number = known.next_number
                     self.assertGreaterEqual(number, 3 << 32)
                     self.assertTrue(all(one.deadline == one.deadline for one in known.entries.values()))
--- a/tests/recovery/test_damage.py
+++ b/tests/recovery/test_damage.py
@@ -33,8 +33,8 @@
         self.addCleanup(made.cleanup)
         self.folder = Path(made.name)
 
-    def journal(self, life: int = 0) -> Journal:
-        journal = Journal(self.folder, 3e6, life)
+    def journal(self, incarnation: int = 0) -> Journal:
+        journal = Journal(self.folder, 3e6, incarnation)
         self.addCleanup(journal.close)
         return journal
 
@@ -129,7 +129,7 @@
         data = bytearray(path.read_bytes())
         data[first : first + 30] = bytes(30)
         path.write_bytes(data)
-        known = self.journal(life=3)
+        known = self.journal(incarnation=3)
         self.assertEqual((set(known.entries), known.orphans), ({1}, 1))
         self.assertGreaterEqual(known.next_number, 3 << 32)  # its number is not used again
 
--- a/tests/recovery/test_folder_lease.py
+++ b/tests/recovery/test_folder_lease.py
@@ -18,7 +18,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from calicohitch.journal import Journal, JournalFull
-from calicohitch.recovery.folder_lease import EXPIRED_S, FolderLease, LeaseMonitor, claimed
+from calicohitch.recovery.folder_lease import EXPIRED_S, FolderLease, LeaseMonitor, acquire_folder
 from calicohitch.recovery.problems import FolderInUse, FolderLost, FolderProblem
 from calicohitch.journal import Entry
 
@@ -38,14 +38,14 @@
         self.folder = Path(made.name) / "state"
         self.mono, self.wall = Time(), Time(1_000.0)
 
-    def watcher(self) -> LeaseMonitor:
+    def monitor(self) -> LeaseMonitor:
         return LeaseMonitor(self.folder, self.mono, self.wall)
 
     def began(self) -> FolderLease:
-        claim = self.watcher().look()
-        assert claim
-        self.addCleanup(claim.close)
-        return claim
+        lease = self.monitor().look()
+        assert lease
+        self.addCleanup(lease.close)
+        return lease
 
     def test_numbers_only_grow_whatever_the_clock_says(self) -> None:
         first = self.began()
@@ -54,16 +54,16 @@
         second = self.began()
         second.close()
         self.wall.now = 5_000.0
-        self.assertEqual([first.life, second.life, self.began().life], [1_000, 1_001, 5_000])
+        self.assertEqual([first.incarnation, second.incarnation, self.began().incarnation], [1_000, 1_001, 5_000])
         self.assertEqual(len(list(self.folder.glob("life-*"))), 1)
 
     def test_a_living_owner_keeps_the_folder(self) -> None:
-        owner, other = self.began(), self.watcher()
+        owner, other = self.began(), self.monitor()
         for _ in range(40):
             self.mono.now += 0.5
             owner.renew()
             self.assertIsNone(other.look())
-        self.assertIn(f"life {owner.life} (process {os.getpid()}) has it and is alive", other.why)
+        self.assertIn(f"life {owner.incarnation} (process {os.getpid()}) has it and is alive", other.why)
         owner.check()
 
     def test_a_dead_owner_is_followed_at_once(self) -> None:
@@ -72,7 +72,7 @@
         self.began().check()
 
     def test_a_stalled_owner_is_replaced_and_finds_out_before_its_next_act(self) -> None:
-        owner, other = self.began(), self.watcher()
+        owner, other = self.began(), self.monitor()
         self.assertIsNone(other.look())
         self.mono.now += EXPIRED_S - 0.1
         self.assertIsNone(other.look())
@@ -93,7 +93,7 @@
         owner.check()
 
     def test_a_watcher_that_stalls_itself_believes_only_what_it_sees_now(self) -> None:
-        owner, other = self.began(), self.watcher()
+        owner, other = self.began(), self.monitor()
         self.assertIsNone(other.look())
         self.mono.now += 60.0  # both stood still; the owner goes on first
         owner.renew()
@@ -108,7 +108,7 @@
 
     def test_what_cannot_be_proved_is_not_done(self) -> None:
         owner = self.began()
-        journal = Journal(self.folder, 3e6, owner.life, owner.check)
+        journal = Journal(self.folder, 3e6, owner.incarnation, owner.check)
         self.addCleanup(journal.close)
         entry = Entry(journal.next_number, "m", "orders", 7, 5e12, None, b"")
         journal.taken(entry)
@@ -120,7 +120,7 @@
                 journal.attempt(entry.number, 0, 1.0, 0)
         self.assertTrue(journal.may_act())
         journal.attempt(entry.number, 0, 1.0, 0)
-        self.assertEqual(owner.life << 32, entry.number)
+        self.assertEqual(owner.incarnation << 32, entry.number)
 
     def test_left_overs_of_dead_processes(self) -> None:
         self.folder.mkdir()
@@ -128,7 +128,7 @@
         (self.folder / "life-7").write_text("")
         (self.folder / "life-9").write_bytes(b"\xff" * 200)
         (self.folder / "life-x").write_text("mine")
-        self.assertEqual(self.began().life, 1_000)
+        self.assertEqual(self.began().incarnation, 1_000)
         self.assertEqual(sorted(p.name for p in self.folder.iterdir()), ["claim.lock", "life-1000", "life-x"])
 
     def test_folders_that_cannot_be_used_say_what_would_do(self) -> None:
@@ -144,15 +144,15 @@
         ):
             with self.subTest(hint), mock.patch("os.open", side_effect=OSError(code, os.strerror(code))):
                 with self.assertRaisesRegex(FolderProblem, hint):
-                    self.watcher().look()
+                    self.monitor().look()
 
     def test_waiting_is_bounded(self) -> None:
         async def test() -> None:
-            owner = await claimed(self.folder)
+            owner = await acquire_folder(self.folder)
             with self.assertRaisesRegex(FolderInUse, "in use: life"):
-                await claimed(self.folder, 0.2)
+                await acquire_folder(self.folder, 0.2)
             owner.close()
-            (await claimed(self.folder, 0.2)).close()
+            (await acquire_folder(self.folder, 0.2)).close()
 
         anyio.run(test)
 
@@ -166,13 +166,13 @@
         for last in range(1, 40):
             with tempfile.TemporaryDirectory() as name:
                 folder = Path(name)
-                claim = LeaseMonitor(folder).look()
-                assert claim
-                journal = Journal(folder, 3e6, claim.life, claim.check)
+                lease = LeaseMonitor(folder).look()
+                assert lease
+                journal = Journal(folder, 3e6, lease.incarnation, lease.check)
                 kept = Entry(journal.next_number, "m", "orders", 7, 5e12, None, b"body")
                 journal.taken(kept)
                 journal.close()
-                claim.close()
+                lease.close()
                 (path,) = folder.glob("journal-*.log")
                 path.write_bytes(path.read_bytes() + b"torn")
                 done = 0
@@ -193,7 +193,7 @@
                         second = LeaseMonitor(folder).look()
                         assert second
                         held.append(second._fd)
-                        again = Journal(folder, 3e6, second.life, second.check)
+                        again = Journal(folder, 3e6, second.incarnation, second.check)
                         again.closed(again.next_number)
                         again.taken(Entry(again.next_number, "n", "orders", 7, 5e12, None, b""))
                         again.close()
@@ -203,8 +203,8 @@
                     os.close(fd)
                 third = LeaseMonitor(folder).look()
                 assert third
-                self.assertGreater(third.life, claim.life)
-                found = Journal(folder, 3e6, third.life)
+                self.assertGreater(third.incarnation, lease.incarnation)
+                found = Journal(folder, 3e6, third.incarnation)
                 self.assertEqual(found.entries[kept.number].body, b"body")
                 self.assertFalse([one for one in found.damage if not one.mended], (last, found.damage))
                 found.close()
@@ -222,13 +222,13 @@
         self.made = tempfile.TemporaryDirectory()
         self.folder = Path(self.made.name)
         self.mono = Time()
-        self.watchers = [LeaseMonitor(self.folder, self.mono, Time(50.0)) for _ in range(3)]
-        self.claims: list[FolderLease] = []
+        self.monitors = [LeaseMonitor(self.folder, self.mono, Time(50.0)) for _ in range(3)]
+        self.leases: list[FolderLease] = []
         self.acted: list[tuple[float, int]] = []
 
     def teardown(self) -> None:
-        for claim in self.claims:
-            claim.close()
+        for lease in self.leases:
+            lease.close()
         self.made.cleanup()
 
     @rule(seconds=st.sampled_from([0.1, 0.5, 1.9, 2.1, 5.1]))
@@ -237,33 +237,33 @@
 
     @rule(which=st.integers(0, 2))
     def looks(self, which: int) -> None:
-        if claim := self.watchers[which].look():
-            self.claims.append(claim)
+        if lease := self.monitors[which].look():
+            self.leases.append(lease)
 
-    @precondition(lambda self: self.claims)
+    @precondition(lambda self: self.leases)
     @rule(which=st.integers(0, 9))
     def renews(self, which: int) -> None:
-        self.claims[which % len(self.claims)].renew()
+        self.leases[which % len(self.leases)].renew()
 
-    @precondition(lambda self: self.claims)
+    @precondition(lambda self: self.leases)
     @rule(which=st.integers(0, 9))
     def dies(self, which: int) -> None:
-        self.claims.pop(which % len(self.claims)).close()
+        self.leases.pop(which % len(self.leases)).close()
 
-    @precondition(lambda self: self.claims)
+    @precondition(lambda self: self.leases)
     @rule(which=st.integers(0, 9))
     def acts(self, which: int) -> None:
-        claim = self.claims[which % len(self.claims)]
+        lease = self.leases[which % len(self.leases)]
         try:
-            claim.check()
+            lease.check()
         except FolderProblem:
             return
-        self.acted.append((self.mono.now, claim.life))
+        self.acted.append((self.mono.now, lease.incarnation))
 
     @invariant()
     def acts_are_in_the_order_of_lives(self) -> None:
-        lives = [life for _, life in self.acted]
-        assert lives == sorted(lives), self.acted
+        incarnations = [incarnation for _, incarnation in self.acted]
+        assert incarnations == sorted(incarnations), self.acted
 
 
 Owners.TestCase.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
@@ -277,7 +277,7 @@
         code = (
             "import sys, anyio; from pathlib import Path; from calicohitch.recovery import folder_lease\n"
             "async def main():\n"
-            "    held = await folder_lease.claimed(Path(sys.argv[1]), 0.3)\n"
+            "    held = await folder_lease.acquire_folder(Path(sys.argv[1]), 0.3)\n"
             "    print('held', flush=True)\n"
             "    while not held.lost: held.renew(); await anyio.sleep(0.1)\n"
             "    print(held.lost, flush=True)\n"
@@ -294,11 +294,11 @@
                 os.kill(first.pid, signal.SIGSTOP)
 
                 async def replaced() -> FolderLease:
-                    return await claimed(Path(name), EXPIRED_S + 3)
+                    return await acquire_folder(Path(name), EXPIRED_S + 3)
 
                 later = anyio.run(replaced)
                 os.kill(first.pid, signal.SIGCONT)
-                self.assertIn(f"life {later.life} has the folder", first.stdout.readline())
+                self.assertIn(f"life {later.incarnation} has the folder", first.stdout.readline())
                 later.close()
             finally:
                 first.kill()
--- a/tests/recovery/test_formats.py
+++ b/tests/recovery/test_formats.py
@@ -30,7 +30,7 @@
 class Before(unittest.TestCase):
     def test_the_first_formats_reader_finds_every_record(self) -> None:
         with tempfile.TemporaryDirectory() as name:
-            journal = Journal(Path(name), 3e6, life=1_796_000_000)
+            journal = Journal(Path(name), 3e6, incarnation=1_796_000_000)
             for n in range(3):
                 number = journal.next_number
                 journal.taken(Entry(number, f"m{n}", "orders", 7, 5e12, "k", b"body"))
--- a/tests/recovery/test_recovery_phases.py
+++ b/tests/recovery/test_recovery_phases.py
@@ -25,7 +25,7 @@
 
 class Phases(unittest.TestCase):
     def passed(self, back: Recovery, now: float) -> list[tuple[str, float]]:
-        return [(one.phase.value, one.after) for one in back.news(now)]
+        return [(one.phase.value, one.after) for one in back.new_phases(now)]
 
     def test_each_is_told_once_with_its_time(self) -> None:
         back = Recovery(1_000.0)
@@ -56,7 +56,7 @@
         back.did(100.0, RecoveryCounter.FRESH)
         back.did(200.0, RecoveryCounter.SERVED, 5)
         back.did(2_300.0, RecoveryCounter.SERVED, 99)
-        back.news(3_100.0)
+        back.new_phases(3_100.0)
         self.assertEqual(back.seconds, [(0, {"fresh": 1, "restored": 1, "served": 1}), (2, {"served": 1})])
 
     def test_what_passed_before_anyone_asked_is_told_with_its_last_second(self) -> None:
@@ -76,24 +76,27 @@
     def test_a_return_that_never_ends_is_told_as_it_stands(self) -> None:
         back = Recovery(0.0)
         back.folder(10.0, {5: 7}, 0)
-        back.news(11.0)
-        (last,) = back.news(LONGEST_MS + 1)
+        back.new_phases(11.0)
+        (last,) = back.new_phases(LONGEST_MS + 1)
         self.assertEqual((last.phase.value, last.facts), ("unended", {"restored": 1, "untold": 1}))
-        self.assertEqual(back.news(LONGEST_MS * 2), [])
+        self.assertEqual(back.new_phases(LONGEST_MS * 2), [])
 
 
 class Reading(unittest.TestCase):
     def test_both_forms_of_the_log(self) -> None:
         as_json = [json.dumps({"event": "x", "text": line.split("INFO ")[1]}) for line in TEXT]
         for lines in (TEXT, as_json):
-            (life,) = read("n0", [*lines, "{broken", "return: nothing", ""])
-            self.assertEqual((life.life, life.phases), (1796, {"up": 0.0, "folder": 41.0, "list": 71.0, "full": 980.0}))
-            self.assertEqual(life.facts, {"restored": 18, "damaged": 2})
-            self.assertEqual(life.seconds, {0: {"restored": 11, "fresh": 4, "served": 15}})
+            (incarnation,) = read("n0", [*lines, "{broken", "return: nothing", ""])
+            self.assertEqual(
+                (incarnation.incarnation, incarnation.phases),
+                (1796, {"up": 0.0, "folder": 41.0, "list": 71.0, "full": 980.0}),
+            )
+            self.assertEqual(incarnation.facts, {"restored": 18, "damaged": 2})
+            self.assertEqual(incarnation.seconds, {0: {"restored": 11, "fresh": 4, "served": 15}})
 
     def test_a_fleet_is_summed(self) -> None:
-        lives = read("n0", TEXT) + read("n1", [line.replace("980", "2000") for line in TEXT])
-        told = fleet(lives)
+        incarnations = read("n0", TEXT) + read("n1", [line.replace("980", "2000") for line in TEXT])
+        told = fleet(incarnations)
         self.assertEqual(told["phases"]["full"], {"reached": 2, "median_ms": 1490.0, "worst_ms": 2000.0})
         self.assertEqual(told["seconds"]["0"], {"restored": 22, "fresh": 8, "served": 30})
 
--- a/tests/test_limit_updates.py
+++ b/tests/test_limit_updates.py
@@ -28,9 +28,9 @@
 
 class ChangeNotifier(unittest.TestCase):
     def told(self, limit: float, before: float = 100.0, dest: int | None = 7) -> bytes:
-        news = LimitUpdates(1)
-        news.told(SECOND, dest, known(before), (0.5, limit), False)
-        return news.due(2 * SECOND)
+        limit_updates = LimitUpdates(1)
+        limit_updates.told(SECOND, dest, known(before), (0.5, limit), False)
+        return limit_updates.due(2 * SECOND)
 
     def test_a_large_change_is_told_and_noise_is_not(self) -> None:
         self.assertEqual(self.told(50.0), b"\x01" + struct.pack(">If", 7, 50.0))
@@ -40,27 +40,27 @@
                 self.assertEqual(self.told(limit, dest=dest), b"")
 
     def test_a_first_answer_is_no_news_whatever_the_list_supposed(self) -> None:
-        news, share = LimitUpdates(1), SharedLimit(200, ("x0", "x1"))
+        limit_updates, share = LimitUpdates(1), SharedLimit(200, ("x0", "x1"))
         share.suppose(0, 300.0)
-        news.told(SECOND, 7, share, (0.5, 80.0), False)
-        self.assertEqual(news.due(2 * SECOND), b"")
+        limit_updates.told(SECOND, 7, share, (0.5, 80.0), False)
+        self.assertEqual(limit_updates.due(2 * SECOND), b"")
 
     def test_a_few_couriers_tell_nothing(self) -> None:
-        news, share = LimitUpdates(1), LimitShare(3, ("x0", "x1"))
+        limit_updates, share = LimitUpdates(1), LimitShare(3, ("x0", "x1"))
         share.told(0, (0.5, 100.0), False)
-        news.told(SECOND, 7, share, (0.5, 50.0), False)
-        self.assertEqual(news.due(2 * SECOND), b"")
+        limit_updates.told(SECOND, 7, share, (0.5, 50.0), False)
+        self.assertEqual(limit_updates.due(2 * SECOND), b"")
 
     def test_one_of_all_that_hear_it_tells_it_and_once_in_some_seconds(self) -> None:
         notes, couriers = [], [LimitUpdates(seed) for seed in range(200)]
-        for news in couriers:
-            news.told(SECOND, 7, known(), (0.5, 50.0), False)
+        for limit_updates in couriers:
+            limit_updates.told(SECOND, 7, known(), (0.5, 50.0), False)
         for now in range(SECOND, 4 * SECOND, 5 * MS):
-            for news in couriers:
-                if note := news.due(now):
+            for limit_updates in couriers:
+                if note := limit_updates.due(now):
                     notes.append(note)
                     for other in couriers:
-                        if other is not news:
+                        if other is not limit_updates:
                             other.heard(now, note)
         self.assertEqual(len(notes), 1)
         couriers[0].told(3 * SECOND, 7, known(), (0.5, 50.0), False)
@@ -69,28 +69,28 @@
         self.assertTrue(couriers[0].due(10 * SECOND))
 
     def test_many_destinations_share_notes_of_256_bytes(self) -> None:
-        news = LimitUpdates(1)
+        limit_updates = LimitUpdates(1)
         for dest in range(60):
-            news.told(SECOND, dest, known(), (0.5, 50.0), False)
-        note = news.due(2 * SECOND)
+            limit_updates.told(SECOND, dest, known(), (0.5, 50.0), False)
+        note = limit_updates.due(2 * SECOND)
         self.assertLessEqual(len(note), 256)
         self.assertEqual(len(LimitUpdates(2).heard(0, note)), 31)
 
     @given(st.binary(max_size=300))
     def test_any_bytes_are_read(self, note: bytes) -> None:
-        news = LimitUpdates(1)
-        for _, limit in news.heard(0, note):
+        limit_updates = LimitUpdates(1)
+        for _, limit in limit_updates.heard(0, note):
             self.assertTrue(0 < limit < 1e9)
 
     def test_bad_notes_are_left_out(self) -> None:
-        news = LimitUpdates(1)
+        limit_updates = LimitUpdates(1)
         good = b"\x01" + struct.pack(">If", 7, 50.0)
         for note in (b"", b"\x02" + good[1:], good[:-1], good + b"x", good + good[1:] * 31):
-            self.assertEqual(news.heard(0, note), [])
-        self.assertEqual(news.unread, 5)
+            self.assertEqual(limit_updates.heard(0, note), [])
+        self.assertEqual(limit_updates.unread, 5)
         for limit in (-1.0, 0.0, float("nan"), float("inf"), 1e12):
-            self.assertEqual(news.heard(0, b"\x01" + struct.pack(">If", 7, limit)), [])
-        self.assertEqual(news.heard(0, good), [(7, 50.0)])
+            self.assertEqual(limit_updates.heard(0, b"\x01" + struct.pack(">If", 7, limit)), [])
+        self.assertEqual(limit_updates.heard(0, good), [(7, 50.0)])
 
 
 class Couriers(unittest.TestCase):
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -203,11 +203,11 @@
             one._numbers = {two._sock.getsockname(): 3}
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(one.run)
-                stranger.tell(0, b"who")
-                two.tell(0, bytes(257))  # too long to be sent
-                two.tell(5, b"no such relay")
-                two.tell(0, b"one")
-                two.tell(None, b"all")
+                stranger.send(0, b"who")
+                two.send(0, bytes(257))  # too long to be sent
+                two.send(5, b"no such relay")
+                two.send(0, b"one")
+                two.send(None, b"all")
                 await until(lambda: len(heard) == 2)
                 tasks.cancel_scope.cancel()
             self.assertEqual(heard, [(3, b"one"), (3, b"all")])
--- a/tests/tracing/test_spans.py
+++ b/tests/tracing/test_spans.py
@@ -29,7 +29,7 @@
     facts.journal_ms = 2.0
     facts.hold(1_002.0)
     facts.release(1_500.0)
-    first = AttemptFacts(1_500.0, cut=True, earlier_life=True)
+    first = AttemptFacts(1_500.0, cut=True, earlier_incarnation=True)
     second = AttemptFacts(
         2_100.0, "s-1", Address("127.0.0.1", 80), 1, 2_101.0, False, 2_102.0, 2_190.0, 200, 2_200.0, Outcome.OK
     )
@@ -142,7 +142,18 @@
         for since, until in attempts:
             facts.attempts.append(
                 AttemptFacts(
-                    since, "", None, 0, since, True, until, until, 500, until, Outcome.ERROR, earlier_life=since > until
+                    since,
+                    "",
+                    None,
+                    0,
+                    since,
+                    True,
+                    until,
+                    until,
+                    500,
+                    until,
+                    Outcome.ERROR,
+                    earlier_incarnation=since > until,
                 )
             )
         facts.recovered_at, facts.decided_at, facts.ended_at, facts.end = recovered, decided, ended, End.FAILED
