--- a/benchmarks/endpoints.py
+++ b/benchmarks/endpoints.py
@@ -73,13 +73,13 @@
         self.whole()
 
     def anew(self) -> None:
-        self.directory, self.sender = Directory(self.names), DecisionEngine(self.settings, 1)
+        self.directory, self.engine = Directory(self.names), DecisionEngine(self.settings, 1)
 
     def told(self, complete: bool, members: list[dict[str, Any]]) -> None:
         self.revision += 1
         text = json.dumps({"revision": self.revision, "complete": complete, "members": members})
         update = self.directory.read(json.loads(text))
-        self.sender.handle(self.revision * 1_000, [update.told()])
+        self.engine.handle(self.revision * 1_000, [update.told()])
 
     def first(self) -> None:
         self.anew()
@@ -95,7 +95,7 @@
 
     def keep(self) -> None:
         members = self.directory.told if len(self.members) <= MOST_MEMBERS else list
-        self.memory.keep(1e12 + self.revision, self.sender.known(), lambda _number: "", "d", self.revision, members)
+        self.memory.save(1e12 + self.revision, self.engine.known(), lambda _number: "", "d", self.revision, members)
 
     def measured(self) -> dict[str, float]:
         return {
--- a/benchmarks/returns.py
+++ b/benchmarks/returns.py
@@ -89,12 +89,12 @@
 
     journal = Journal(folder, 60e6)
     soon = time.time() * 1e3 + 20_000
-    journal.taken(Entry(journal.next_number, "first", "entry-orders", 7, soon, "k", bytes(60)))
+    journal.record_accepted(Entry(journal.next_number, "first", "entry-orders", 7, soon, "k", bytes(60)))
     for n in range(records // 3):
         number = journal.next_number
-        journal.taken(Entry(number, f"m{n}", "entry-orders", 7, soon, f"k{n}", bytes(60)))
-        journal.attempt(number, 0, soon - 20_000, 0)
-        journal.closed(number)
+        journal.record_accepted(Entry(number, f"m{n}", "entry-orders", 7, soon, f"k{n}", bytes(60)))
+        journal.record_attempt(number, 0, soon - 20_000, 0)
+        journal.record_closed(number)
     journal.close()
 
 
--- a/calicohitch/benchlink.py
+++ b/calicohitch/benchlink.py
@@ -153,11 +153,11 @@
             raise WireError(f"event code {code} is not known")
 
     def _flush(self, courier: int, now: int, waiting: dict[int, list[i.Event]], reply: _Reply) -> None:
-        sender = self._engines.get(courier)
-        if sender is None:
+        engine = self._engines.get(courier)
+        if engine is None:
             raise WireError(f"an event names courier {courier}, which is not open")
         try:
-            for action in sender.handle(now, waiting[courier]):
+            for action in engine.handle(now, waiting[courier]):
                 reply.add(courier, action)
         except Exception as err:
             reply.add_text(25, courier, f"{type(err).__name__}: {err}")
--- a/calicohitch/core/descriptor_budget.py
+++ b/calicohitch/core/descriptor_budget.py
@@ -55,19 +55,19 @@
         aside = sum(max(0, kept - self.held[other]) for other, kept in self._kept.items() if other is not holder)
         return max(0, self.total - self.held.total() - aside)
 
-    def take(self, holder: DescriptorUse) -> bool:
+    def acquire(self, holder: DescriptorUse) -> bool:
         if not self.free_for(holder):
             self.refused[holder] += 1
             return False
         self.held[holder] += 1
         return True
 
-    def give_back(self, holder: DescriptorUse) -> None:
+    def release(self, holder: DescriptorUse) -> None:
         if not self.held[holder]:
             raise ValueError(f"{holder.value} holds no descriptor to give back")
         self.held[holder] -= 1
 
-    def told(self) -> str:
+    def summary(self) -> str:
         """The ledger in one line."""
         parts = ", ".join(f"{holder.value} {self.held[holder]}" for holder in DescriptorUse if self.held[holder])
         return f"{self.held.total()} of {self.total} descriptors: {parts or 'none'}"
--- a/calicohitch/core/limit_share.py
+++ b/calicohitch/core/limit_share.py
@@ -36,7 +36,7 @@
         self._left = 1.0  # share of the allowance, in the mean over answers
         self._keep = _KEEP
         self._told_at = -math.inf
-        self.heard = False  # an answer told the limit
+        self.reported = False  # an answer told the limit
         self._tokens, self._at = 1.0, 0  # at most, and fewer after calls; counted up to then
 
     @property
@@ -44,28 +44,28 @@
         """This courier's equal part of the limit."""
         return self.limit / self._couriers
 
-    def suppose(self, now: int, limit: float) -> None:
+    def assume_limit(self, now: int, limit: float) -> None:
         """What the list says of the limit, until an answer tells it: all that start at once keep to their parts."""
-        if not self.heard and len(self._places) == 2 and 0 < limit < math.inf:
+        if not self.reported and len(self._places) == 2 and 0 < limit < math.inf:
             self._refill(now)
             self.limit, self._left = limit, self.supposed_left
 
-    def noted(self, now: int, limit: float) -> None:
+    def peer_reported(self, now: int, limit: float) -> None:
         """Another courier was told this limit."""
 
     def state(self) -> tuple[float, float, float]:
         """What `recall` takes in a later life."""
-        return self.limit if self.heard else 0.0, 1.0, 0.0
+        return self.limit if self.reported else 0.0, 1.0, 0.0
 
     def recall(self, limit: float, times: float, came: float) -> None:
         """Go on from what an earlier life knew, before anything is told: of the allowance nothing is known."""
         if limit > 0:
-            self.limit, self.heard, self._left = limit, True, self.supposed_left
+            self.limit, self.reported, self._left = limit, True, self.supposed_left
 
     def came(self, now: int, share: float = 1.0) -> None:
         """A message came, of which so much is for this route; an equal part does not go by that."""
 
-    def told(self, now: int, report: Sequence[float], full: bool) -> None:
+    def observe(self, now: int, report: Sequence[float], full: bool) -> None:
         """What one answer tells; a refused call found nothing left, whether it says so or not. What cannot be true is
         not believed."""
         if len(self._places) != 2:
@@ -77,14 +77,14 @@
         else:
             return
         if left == limit == 0 and not full:  # it has no limit, whatever was supposed
-            self.limit, self.heard = 0.0, True
+            self.limit, self.reported = 0.0, True
         if not (0 < limit < math.inf and 0 <= left <= 1):
             return
         since = max(0, now - self._told_at)
         gain = max(_GAIN, 1 - math.exp(-since / self.fade))
         self._refill(now)
         self._limited(now, limit)
-        self.heard = True
+        self.reported = True
         self._left += gain * ((0.0 if full else left) - self._left)
         self._told_at = now
         self._adjust(now, since, left, full)
--- a/calicohitch/core/limit_updates.py
+++ b/calicohitch/core/limit_updates.py
@@ -38,11 +38,11 @@
         self._quiet: dict[int, float] = {}  # destination -> until when it is not told of
         self.unread = 0  # notes that were none
 
-    def told(self, now: int, dest: int | None, share: LimitShare, report: Sequence[float], full: bool) -> None:
+    def observe(self, now: int, dest: int | None, share: LimitShare, report: Sequence[float], full: bool) -> None:
         """An answer told a share something; `dest`: where all endpoints have one limit, else None. A limit that differs
         from the one known by answers is news."""
-        before = share.limit if share.heard else 0.0
-        share.told(now, report, full)
+        before = share.limit if share.reported else 0.0
+        share.observe(now, report, full)
         limit = share.limit
         if dest is None or not share.notes or not (before and limit):
             return
@@ -62,7 +62,7 @@
             self._quiet[dest] = now + _QUIET
         return _VERSION + b"".join(_ITEM.pack(dest & 0xFFFFFFFF, limit) for dest, limit in told)
 
-    def heard(self, now: int, note: bytes) -> list[tuple[int, float]]:
+    def receive(self, now: int, note: bytes) -> list[tuple[int, float]]:
         """Destinations and limits of another's note; what cannot be true is left out."""
         if note[:1] != _VERSION or (len(note) - 1) % _ITEM.size or len(note) > 1 + _MOST * _ITEM.size:
             self.unread += 1
--- a/calicohitch/core/protocols.py
+++ b/calicohitch/core/protocols.py
@@ -1,8 +1,9 @@
 """The two small interfaces that every protocol stands behind.
 
-An **intake** makes a `Submission` of what it reads and calls `Relay.take`. Where its client is to be told at once that
-the message is taken on (HTTP/1.1: 202), it calls `accept` after that, and the end goes to the platform as a notice.
-Where the client's call stays open until the end (gRPC), it gives a `Reply`, and that is told the one end instead.
+An **intake** makes a `Submission` of what it reads and calls `Relay.submit`. Where its client is to be told at once
+that the message is taken on (HTTP/1.1: 202), it calls `accept` after that, and the end goes to the platform as a
+notice. Where the client's call stays open until the end (gRPC), it gives a `Reply`, and that is told the one end
+instead.
 
 A **delivery** makes one attempt and says how it ended: never a second one of its own, whatever its library would do.
 """
@@ -169,7 +170,7 @@
 class Adopter(Protocol):
     """What takes over others' messages: a relay."""
 
-    def take_up(self, entries: Sequence[Entry]) -> list[int]:
+    def adopt(self, entries: Sequence[Entry]) -> list[int]:
         """Journal them under numbers of its own, and do nothing with them yet."""
 
     def confirm(self, numbers: Sequence[int], waits: Mapping[int, float]) -> None:
--- a/calicohitch/core/shared_limit.py
+++ b/calicohitch/core/shared_limit.py
@@ -51,7 +51,7 @@
         self._recalled = 0.0  # messages a second in an earlier life
 
     def state(self) -> tuple[float, float, float]:
-        return self.limit if self.heard else 0.0, self._times, self._came
+        return self.limit if self.reported else 0.0, self._times, self._came
 
     def recall(self, limit: float, times: float, came: float) -> None:
         """Go on from what an earlier life knew: a limit that was lowered or raised meanwhile still changes the
@@ -69,21 +69,21 @@
         self._came = self._came * self._faded(now) + share * _SECOND / _LOOKS_BACK
         self._came_at = now
 
-    def noted(self, now: int, limit: float) -> None:
+    def peer_reported(self, now: int, limit: float) -> None:
         """Another courier was told this limit; one near what is known is no news, and answers know better."""
-        if self.heard and self.limit and not _LOWERED <= limit / self.limit <= _RAISED:
+        if self.reported and self.limit and not _LOWERED <= limit / self.limit <= _RAISED:
             self._refill(now)
             self._limited(now, limit)
 
     def _limited(self, now: int, limit: float) -> None:
         """A limit is told: a new one changes what all send in proportion, before refusals teach it; from what comes,
         since a share above it was not used up."""
-        change = limit / self.limit if self.limit and self.heard else 1.0
+        change = limit / self.limit if self.limit and self.reported else 1.0
         if change < _LOWERED:
             self._times, self._cut_at = max(_LEAST, min(self._times, 1.0) * change), now
         elif change > _RAISED:
             self._times, self._left = min(_MOST, self._times * change), max(self._left, 0.5)
-        elif self.heard:
+        elif self.reported:
             limit = self.limit + _SMOOTH * (limit - self.limit)
         self.limit = limit
 
--- a/calicohitch/core/signals.py
+++ b/calicohitch/core/signals.py
@@ -27,13 +27,13 @@
         self._on_reload: Callable[[], None] | None = None
         self._reload_due = False
 
-    def reload_by(self, on_reload: Callable[[], None]) -> None:
+    def set_reload_handler(self, on_reload: Callable[[], None]) -> None:
         self._on_reload = on_reload
         if self._reload_due:
             self._reload_due = False
             on_reload()
 
-    def heard(self, number: int) -> None:
+    def receive(self, number: int) -> None:
         if number != signal.SIGHUP:
             if self.stop.is_set():
                 logger.bind(event="relay.stopping_already").info("told to stop again: it is stopping")
@@ -46,7 +46,7 @@
 
 
 @asynccontextmanager
-async def heeded() -> AsyncIterator[SignalState]:
+async def handling_signals() -> AsyncIterator[SignalState]:
     """Hear signals for as long as this lasts. The mask of the calling thread is as before when it is over, and from
     before the handlers go: where the program blocked them, nothing ends it on the way out."""
     told = SignalState()
@@ -55,7 +55,7 @@
 
         async def listen() -> None:
             async for number in signals:
-                told.heard(number)
+                told.receive(number)
 
         failed: BaseException | None = None  # what ended the service, as it is: a task group would wrap it
         async with anyio.create_task_group() as tasks:
--- a/calicohitch/decisions.py
+++ b/calicohitch/decisions.py
@@ -212,7 +212,7 @@
         if event.outcome in (Outcome.CANCELLED, Outcome.MOOT) or event.stale:
             return
         shared = endpoint.told.dest if route is dest.routes.get(SHARED) else None
-        self.limit_updates.told(now, shared, route.share, event.report, event.outcome is Outcome.FULL)
+        self.limit_updates.observe(now, shared, route.share, event.report, event.outcome is Outcome.FULL)
         if call.again and event.outcome in (Outcome.OK, Outcome.FULL):
             # Guards against limits that refused calls use up: there trying again shuts out all. Where most of
             # a kind's second tries are refused, its rests double. Harm: a full partner slows its kind.
@@ -353,7 +353,7 @@
             if entry.phase is Phase.READY:
                 dest, apart = self._dests[entry.dest], self._set.kind(entry).routes_apart
                 route = dest.routes.setdefault(entry.endpoint if apart else SHARED, self._new_route())
-                route.share.suppose(self._now, entry.weight if self._set.weights != "none" else 0.0)
+                route.share.assume_limit(self._now, entry.weight if self._set.weights != "none" else 0.0)
                 new, name = Endpoint(entry, route, self._random.random()), entry.endpoint
                 dest.ends[name] = self._endpoints.setdefault(name, new)
                 dest.ends[name].told = entry
@@ -367,9 +367,9 @@
             self._touched[endpoint.told.dest] = None
 
     def _peer_said(self, event: PeerSaid) -> None:
-        for name, limit in self.limit_updates.heard(self._now, event.data):
+        for name, limit in self.limit_updates.receive(self._now, event.data):
             if (dest := self._dests.get(name)) and SHARED in dest.routes:
-                dest.routes[SHARED].share.noted(self._now, limit)
+                dest.routes[SHARED].share.peer_reported(self._now, limit)
                 self._touched[name] = None
 
     def _recalled(self, event: RestoredState) -> None:
--- a/calicohitch/failover/holdings.py
+++ b/calicohitch/failover/holdings.py
@@ -76,7 +76,7 @@
     def record(self, part: int, payload: bytes) -> None:
         """NoRoom where it cannot be written, ValueError where it is no record."""
         try:
-            number = self.journal.copied(payload)
+            number = self.journal.append_replica(payload)
         except JournalFull as err:
             raise NoRoom(str(err)) from err
         if self.journal.is_open(number):
@@ -105,7 +105,7 @@
     def _over(self, number: int) -> None:
         self._part.pop(number, None)
         try:
-            self.journal.closed(number)
+            self.journal.record_closed(number)
         except JournalFull:
             pass  # a claim of it later is harmless: the part is not this relay's any more, or is told anew
 
--- a/calicohitch/failover/manager.py
+++ b/calicohitch/failover/manager.py
@@ -1,6 +1,6 @@
 """The takeover as the relay knows it: its messages are copied, its acts wait for proof, and others' work comes to it.
 
-`Relay` calls what `core/protocols.py` names `Replicator`; this calls back `take_up`, `confirm` and `drop`. What is
+`Relay` calls what `core/protocols.py` names `Replicator`; this calls back `adopt`, `confirm` and `drop`. What is
 decided lies in `copying.py`, `claims.py`, `choice.py` and `fleet/`; here it is put together and run.
 """
 
@@ -384,7 +384,7 @@
             for entry in entries
             if not self._is_anothers(entry, owner, epoch)
         ]
-        numbers = relay.take_up(entries)
+        numbers = relay.adopt(entries)
         with anyio.move_on_after(_ADOPT_S):
             for number in numbers:
                 await self.until_safe(number, _ADOPT_S)
--- a/calicohitch/grpc/intake.py
+++ b/calicohitch/grpc/intake.py
@@ -197,7 +197,7 @@
             waiting,
             pipe,
         )
-        number = self._relay.take(told)
+        number = self._relay.submit(told)
         if isinstance(number, Refusal):
             await self._say(stream, self._refused(number))
             return
--- a/calicohitch/intake/clients.py
+++ b/calicohitch/intake/clients.py
@@ -177,7 +177,7 @@
         while True:
             await anyio.sleep(self._set.told_every_s)
             if told := self.account.told():
-                ledger = self._relay.descriptors.told()
+                ledger = self._relay.descriptors.summary()
                 logger.bind(event="clients.shed", seats=self.seats.count, ledger=ledger, **told).info(
                     "clients: {} were shed or refused: {}",
                     sum(told["causes"].values()),  # type: ignore[attr-defined]
@@ -278,7 +278,7 @@
         if verdict is not Verdict.ENTER:
             self._turn_off(sock, source, verdict.value)
             return
-        if not self._relay.descriptors.take(DescriptorUse.CLIENTS):
+        if not self._relay.descriptors.acquire(DescriptorUse.CLIENTS):
             self.shares.leave(source)
             self._turn_off(sock, source, "no descriptor was left")
             return
@@ -317,7 +317,7 @@
             seat.gone = True
             self.seats.count -= 1
             self.shares.leave(seat.source)
-            self._relay.descriptors.give_back(DescriptorUse.CLIENTS)
+            self._relay.descriptors.release(DescriptorUse.CLIENTS)
             if seat.handed_in and seat in self.seats.kept:
                 self._keeping.did_not()
             self.seats.leave_line(seat)
@@ -427,7 +427,7 @@
     def _answer_now(self, seat: Seat, found: Common, waited_ms: float) -> None:
         told, number, submission = self._decide(seat, found.request, waited_ms)
         seat.handed_in = number is not None
-        if number is not None and submission and self._relay.awaits_copies(number):
+        if number is not None and submission and self._relay.awaits_replication(number):
             self._answering += 1
             self._leave(seat)
             assert self._tasks
@@ -494,7 +494,7 @@
             number = Refusal.BUSY
             self._relay.turned_away(told, number)
         else:
-            number = self._relay.take(told)
+            number = self._relay.submit(told)
         if isinstance(number, Refusal):
             if number is not Refusal.TAKEN:
                 self.account.shed(number.value, seat.source)
@@ -512,7 +512,7 @@
         try:
             assert seat.scope
             with seat.scope, anyio.move_on_after(_REPLY_S):
-                if await self._relay.copied(number):
+                if await self._relay.replicated(number):
                     await Link(seat.sock).send(answer(ACCEPTED.status, ACCEPTED.headers, ACCEPTED.body, close))
                     told = True
                 else:
@@ -613,7 +613,7 @@
         seat.handed_in = number is not None
         handed = connection.handed
         try:
-            if number is not None and not await self._relay.copied(number):
+            if number is not None and not await self._relay.replicated(number):
                 self.account.shed("no copy in time", seat.source)
                 raise ConnectionAbortedError("no copy in time")
             with anyio.fail_after(_REPLY_S):
--- a/calicohitch/journal.py
+++ b/calicohitch/journal.py
@@ -152,7 +152,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Owed:
+class _PendingRecords:
     """A record of what has happened, which the disk has not taken yet."""
 
     number: int
@@ -188,7 +188,7 @@
         self._own_times = own_times
         self._segments: deque[_Segment] = deque()
         self._home: dict[int, _Segment] = {}  # open message -> the segment that it was taken on in
-        self._owed: deque[_Owed] = deque()
+        self._owed: deque[_PendingRecords] = deque()
         self._fd = -1
         self._spoilt = False  # a write to the newest segment failed: the next one begins another
         self._last = 0  # number of the newest segment
@@ -209,7 +209,7 @@
         self._drop_oldest()
 
     def close(self) -> None:
-        self.write_owed()
+        self.write_pending()
         self._close_newest()
 
     def _close_newest(self) -> None:
@@ -234,26 +234,26 @@
         later = _AFTERWARDS * (len(self._home) + 1)
         return self.used() + later + body + 2 * _BLOCK < self._budget
 
-    def taken(self, entry: Entry) -> None:
+    def record_accepted(self, entry: Entry) -> None:
         trace = self._record(_Kind.TRACE, entry.number, entry.trace) if entry.trace else b""
         segment = self._append(_Kind.CALL if entry.call else _Kind.TAKEN, entry.number, _taken_data(entry), trace)
         self._home[entry.number] = segment
         segment.open += 1
         self.next_number = max(self.next_number, entry.number + 1)
 
-    def whole(self, entry: Entry) -> None:
+    def record_complete(self, entry: Entry) -> None:
         """A message with all that is known of it: also for how long each attempt may be out, which whoever takes it
         over from here has to know."""
-        self.taken(entry)
+        self.record_accepted(entry)
         for kind, number, rest in map(read_head, payloads(entry)):
             if kind not in (_Kind.TAKEN, _Kind.TRACE):
                 self._append(_Kind(kind), number, rest)
 
-    def origin(self, number: int, origin: Origin) -> None:
+    def record_origin(self, number: int, origin: Origin) -> None:
         """The message was another relay's, or surely is this one's now."""
         self._append(_Kind.ORIGIN, number, _origin_data(origin))
 
-    def copied(self, payload: bytes) -> int:
+    def append_replica(self, payload: bytes) -> int:
         """Write a record of another relay's journal as it came; the number of its message. ValueError where it is none
         of a message."""
         if len(payload) < _HEAD.size or payload[0] not in _OF_MESSAGES:
@@ -276,40 +276,40 @@
         """Whether a message is taken on and not closed."""
         return number in self._home
 
-    def attempt(self, number: int, attempt: int, sent_at: float, zone: int) -> None:
+    def record_attempt(self, number: int, attempt: int, sent_at: float, zone: int) -> None:
         self._append(_Kind.ATTEMPT, number, _ATTEMPT.pack(attempt, sent_at, zone))
 
-    def until(self, number: int, attempt: int, until: float) -> None:
+    def record_attempt_deadline(self, number: int, attempt: int, until: float) -> None:
         """An attempt is given up by then at the latest."""
         self._append(_Kind.UNTIL, number, _UNTIL.pack(attempt, until))
 
-    def outcome(self, number: int, attempt: int, may_have_run: bool) -> None:
+    def record_outcome(self, number: int, attempt: int, may_have_run: bool) -> None:
         """How an attempt ended; one that surely never ran needs no record before this. Owed where it is refused."""
-        self._append_or_owe(_Kind.OUTCOME, number, _OUTCOME.pack(attempt, may_have_run))
+        self._append_or_queue(_Kind.OUTCOME, number, _OUTCOME.pack(attempt, may_have_run))
 
-    def end(self, number: int, end: End) -> None:
+    def record_end(self, number: int, end: End) -> None:
         """Owed where it is refused: until `owes` says no, a later life would not know of it."""
-        self._append_or_owe(_Kind.END, number, _END.pack(end.handed_back, end.retry_in))
+        self._append_or_queue(_Kind.END, number, _END.pack(end.handed_back, end.retry_in))
 
-    def closed(self, number: int) -> None:
+    def record_closed(self, number: int) -> None:
         """Nothing more is owed: it was delivered, is over elsewhere, or its notice was acknowledged. The record of it
         is owed where it is refused."""
         if number in self._home:
-            self._append_or_owe(_Kind.CLOSED, number, b"")
+            self._append_or_queue(_Kind.CLOSED, number, b"")
             self._forget(number)
             self._drop_oldest()
 
-    def owes(self, number: int) -> bool:
+    def has_pending(self, number: int) -> bool:
         """Whether a record of this message waits for the disk."""
         return any(owed.number == number for owed in self._owed)
 
-    def write_owed(self) -> bool:
+    def write_pending(self) -> bool:
         """Write what waits for the disk, if it takes it, and see whether it takes records again; whether it does."""
         if not self.refusing:
             return True
         try:
             self._check()
-            self._write_owed()
+            self._write_pending()
             if self.refusing:
                 self._roll()  # nothing was owed: a segment of its own shows it
         except (OSError, FolderProblem):
@@ -317,7 +317,7 @@
         self.refusing = False
         return True
 
-    def _write_owed(self) -> None:
+    def _write_pending(self) -> None:
         while self._owed:
             self._write(self._owed[0].record)
             self._owed.popleft()
@@ -337,7 +337,7 @@
         refused, or where what is owed before it is."""
         try:
             self._check()
-            self._write_owed()
+            self._write_pending()
             segment = self._write(self._record(kind, number, data) + behind)
         except OSError as err:
             self.refusing = True
@@ -349,7 +349,7 @@
         self._copy(kind, number, data, behind)
         return segment
 
-    def _append_or_owe(self, kind: _Kind, number: int, data: bytes) -> None:
+    def _append_or_queue(self, kind: _Kind, number: int, data: bytes) -> None:
         """Write a record of what has happened, now or as soon as the disk takes it. JournalFull where this life may
         not write any more."""
         try:
@@ -357,7 +357,7 @@
         except JournalFull:
             if not self.refusing:
                 raise
-            self._owed.append(_Owed(number, self._record(kind, number, data)))
+            self._owed.append(_PendingRecords(number, self._record(kind, number, data)))
             self._copy(kind, number, data)
 
     def _copy(self, kind: _Kind, number: int, data: bytes, behind: bytes = b"") -> None:
--- a/calicohitch/net/endpoints.py
+++ b/calicohitch/net/endpoints.py
@@ -185,11 +185,11 @@
             if anyio.current_time() > until:
                 raise NoConnection
             await anyio.sleep(_ROOM_S)
-        self._descriptors.take(DescriptorUse.CALLS)
+        self._descriptors.acquire(DescriptorUse.CALLS)
         try:
             return await self._open(address, opening)
         except BaseException:
-            self._descriptors.give_back(DescriptorUse.CALLS)
+            self._descriptors.release(DescriptorUse.CALLS)
             raise
 
     async def _open(self, address: Address, opening: _Opening) -> ClientConnection:
@@ -232,7 +232,7 @@
 
     def _close(self, connection: ClientConnection) -> None:
         connection.close()
-        self._descriptors.give_back(DescriptorUse.CALLS)
+        self._descriptors.release(DescriptorUse.CALLS)
 
     def _close_longest_idle(self) -> bool:
         pools = [idle for idle in self._idle.values() if idle]
--- a/calicohitch/net/http.py
+++ b/calicohitch/net/http.py
@@ -416,7 +416,7 @@
         """`descriptor`: the budget of descriptors, and whose part of it the connection takes."""
         self._address, self._max_body, self._needs_body, self._descriptor = address, max_body, needs_body, descriptor
         self._connection: ClientConnection | None = None
-        self._leased = False
+        self._holds_descriptor = False
         self._connected_to = address
         self._asking = anyio.CancelScope()
 
@@ -439,7 +439,9 @@
                     self._close()
                     connection = await ClientConnection.open(address, self._max_body, self._needs_body)
                     self._connection, self._connected_to = connection, address
-                    self._leased = self._descriptor is not None and self._descriptor[0].take(self._descriptor[1])
+                    self._holds_descriptor = self._descriptor is not None and self._descriptor[0].acquire(
+                        self._descriptor[1]
+                    )
                 response = await connection.request(method, target, headers, body)
             if self._asking.cancelled_caught or self._address != address:
                 raise Moved(f"the address is now {self._address}")
@@ -452,8 +454,8 @@
         if self._connection is not None:
             self._connection.close()
             self._connection = None
-            if self._descriptor and self._leased:
-                self._descriptor[0].give_back(self._descriptor[1])
+            if self._descriptor and self._holds_descriptor:
+                self._descriptor[0].release(self._descriptor[1])
 
 
 @dataclass(frozen=True, slots=True)
--- a/calicohitch/net/pending_ends.py
+++ b/calicohitch/net/pending_ends.py
@@ -34,7 +34,7 @@
     def owe(self, entry: Entry, end: End) -> None:
         """Tell this end, behind its record where the disk still owes that."""
         notice = Notice(entry.number, entry.id, end)
-        if self._journal.owes(entry.number) and self._now() < entry.deadline:
+        if self._journal.has_pending(entry.number) and self._now() < entry.deadline:
             logger.bind(event="end.waits_for_disk", message=entry.id).warning(
                 "the end of message {} waits for the disk", entry.id
             )
@@ -46,6 +46,6 @@
         """Tell those whose records are written by now, or whose messages' time is up."""
         now = self._now()
         for number, pending in list(self._pending.items()):
-            if not self._journal.owes(number) or now >= pending.deadline:
+            if not self._journal.has_pending(number) or now >= pending.deadline:
                 del self._pending[number]
                 self._tell(pending.notice)
--- a/calicohitch/net/relay.py
+++ b/calicohitch/net/relay.py
@@ -1,6 +1,6 @@
 """One relay: it owns the decisions and the open messages, feeds events to them and carries out their actions.
 
-How a message is handed in is none of its business: any server may put a protocol before `take`.
+How a message is handed in is none of its business: any server may put a protocol before `submit`.
 """
 
 from __future__ import annotations
@@ -74,7 +74,7 @@
 
 
 class Relay:
-    """Decisions on sockets. `run` serves until it is cancelled; `take` hands a message in. `tracer`, if there
+    """Decisions on sockets. `run` serves until it is cancelled; `submit` hands a message in. `tracer`, if there
     is one, is told what happens and changes nothing."""
 
     def __init__(
@@ -91,7 +91,7 @@
     ) -> None:
         """`memory`: what is kept of the world between lives; without one a life begins knowing nothing. `up_at`: when
         the process began, on the clock. `copies`: other relays hold copies of this one's work, and take it over."""
-        self._memory_of_world = memory
+        self._state_cache = memory
         self.recovery = Recovery(clock.now() if up_at is None else up_at)
         self._config, self._clock, self._journal = config, clock, journal
         settings = config.settings
@@ -100,7 +100,7 @@
         self.descriptors = divide_descriptors(config.limits.sockets, reserved)
         if tracer:
             tracer.why = self._engine.why_held
-            self.descriptors.take(DescriptorUse.TRACING)  # for its collector, whether it has one or not
+            self.descriptors.acquire(DescriptorUse.TRACING)  # for its collector, whether it has one or not
         self._open: dict[int, _Open] = {}
         self._by_id: dict[str, int] = {}
         self._events: deque[i.Event] = deque()
@@ -112,7 +112,7 @@
         self._timer_set = anyio.Event()
         self._tasks: TaskGroup | None = None
         self.ready = self.stopping = False
-        self.heard_since_kept = False
+        self.changed_since_saved = False
         self.max_clients = config.limits.sockets // 2
         self._directory = Directory(config.names, speaks)
         backoff = Backoff(settings.couriers, config.seed)
@@ -121,7 +121,7 @@
         self._waits: dict[int, float] = {}  # destination, or endpoint where those are routes apart -> its end
         self._disk_refused = ChangeNotifier()
         journal.on_refused = self._disk_refused.notify
-        self._pending_ends = PendingEnds(journal, clock.now, self._tell_end)
+        self._pending_ends = PendingEnds(journal, clock.now, self._send_notice)
         self._notices = Notices(config.discovery, self._closed, self.descriptors, self._may_end)
         self._endpoints = Endpoints(
             clock,
@@ -146,9 +146,9 @@
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             tasks.start_soon(restarted, self._ring)
-            tasks.start_soon(restarted, self._keep)
+            tasks.start_soon(restarted, self._save_state_periodically)
             tasks.start_soon(restarted, self._end_overdue)
-            tasks.start_soon(restarted, self._write_owed)
+            tasks.start_soon(restarted, self._write_pending)
             tasks.start_soon(restarted, self._notices.run)
             for delivery in self._deliveries.values():
                 tasks.start_soon(restarted, delivery.run)
@@ -186,21 +186,21 @@
         ending = len(self._pending_ends) or len(self._notices) or self._copies and self._copies.ends_waiting
         return not self._open and not ending
 
-    def take(self, told: Submission) -> int | Refusal:
+    def submit(self, told: Submission) -> int | Refusal:
         """Journal a message. `accept` must follow once its client was told, or `withdraw` if it was not."""
-        taken = self._take(told)
+        taken = self._submit(told)
         if isinstance(taken, Refusal) and taken not in (Refusal.TAKEN, Refusal.BEING_TAKEN):
             self.turned_away(told, taken)
         return taken
 
     def turned_away(self, told: Submission, why: Refusal) -> None:
-        """An intake refuses a message by itself, or `take` did: its story is told all the same."""
+        """An intake refuses a message by itself, or `submit` did: its story is told all the same."""
         if self._tracer:
-            self._tracer.turned_away(
+            self._tracer.submission_refused(
                 told.id, told.class_index, told.dest, told.headers, told.key, why.value, told.handed_in_again
             )
 
-    def _take(self, told: Submission) -> int | Refusal:
+    def _submit(self, told: Submission) -> int | Refusal:
         if (number := self._by_id.get(told.id)) is not None:
             # The client sent its request again, or another has its id: only the first may accept or withdraw.
             return Refusal.TAKEN if self._open[number].accepted else Refusal.BEING_TAKEN
@@ -214,7 +214,7 @@
         if not room or not self._journal.has_room(len(told.body)):
             return Refusal.FULL
         if told.reply and (known := self._memory.recall(told.id)):
-            return self._take_again(known, told)
+            return self._submit_again(known, told)
         if self._copies and not told.reply and (why := self._copies.refuses(told.class_index, told.id)):
             return why
         number = self._journal.next_number
@@ -226,11 +226,11 @@
             number, told.id, class_name, told.dest, deadline, told.key, told.body, call=told.reply is not None
         )
         if self._tracer:
-            entry.trace = self._tracer.taking(entry, told.headers, now, told.handed_in_again)
+            entry.trace = self._tracer.submission_received(entry, told.headers, now, told.handed_in_again)
         if self._copies:
             self._copies.opening(entry)
         try:
-            self._journal.taken(entry)
+            self._journal.record_accepted(entry)
         except JournalFull as err:
             logger.error("journal: {}", err)
             if self._copies:
@@ -239,14 +239,14 @@
                 self._tracer.withdrawn(number)
             return Refusal.FULL
         if self._tracer:
-            self._tracer.taken(number)
+            self._tracer.submission_recorded(number)
         self._open[number] = _Open(entry, told)
         self._by_id[told.id] = number
         if not self.recovery.over:
-            self.recovery.did(now, RecoveryCounter.FRESH)
+            self.recovery.count(now, RecoveryCounter.FRESH)
         return number
 
-    def _take_again(self, entry: Entry, told: Submission) -> int | Refusal:
+    def _submit_again(self, entry: Entry, told: Submission) -> int | Refusal:
         """A client's call broke, here or in an earlier life, and it comes again: what was tried counts."""
         if (entry.class_name, entry.dest, entry.key) != (
             self._config.names.classes[told.class_index],
@@ -259,8 +259,8 @@
         entry.deadline = self._clock.now() + min(max(told.time_left, 0.0), longest)
         entry.body = told.body
         if self._tracer:
-            self._tracer.taking(entry, told.headers, self._clock.now(), True)
-            self._tracer.taken(entry.number)
+            self._tracer.submission_received(entry, told.headers, self._clock.now(), True)
+            self._tracer.submission_recorded(entry.number)
         self._open[entry.number] = _Open(entry, told)
         self._by_id[told.id] = entry.number
         return entry.number
@@ -355,27 +355,27 @@
             decided = self._engine.decided()
             return [] if decided is before else decided
 
-    async def _keep(self) -> None:
+    async def _save_state_periodically(self) -> None:
         """Tell how the return goes, and store what the next life had better know."""
         unread = 0  # notes, as last logged
         while True:
             await anyio.sleep(_KEEP_S)
-            if not self.recovery.told:
-                self._tell_return()
+            if not self.recovery.reported:
+                self._log_recovery()
             if self._engine.limit_updates.unread > _UNREAD_GROWS * unread:
                 unread = self._engine.limit_updates.unread
                 logger.bind(event="notes.unread", count=unread).warning(
                     "{} notes from other relays could not be read and were left out", unread
                 )
-            memory, news = self._memory_of_world, self._open or self.heard_since_kept
+            memory, news = self._state_cache, self._open or self.changed_since_saved
             if memory and self.ready and news and memory.due(self._clock.now()):
-                self.keep()
+                self.save_state()
 
-    def keep(self) -> None:
+    def save_state(self) -> None:
         """Store what is known of the world now."""
-        if self._memory_of_world and self._journal.may_act():
-            self.heard_since_kept = False
-            self._memory_of_world.keep(
+        if self._state_cache and self._journal.may_act():
+            self.changed_since_saved = False
+            self._state_cache.save(
                 self._clock.now(),
                 self._engine.known(),
                 self._name_of,
@@ -392,7 +392,7 @@
         member = self._directory.get(endpoint)
         return member.id if member else ""
 
-    def _tell_return(self) -> None:
+    def _log_recovery(self) -> None:
         for passed in self.recovery.new_phases(self._clock.now()):
             facts = ", ".join(f"{count} {name}" for name, count in passed.facts.items())
             logger.bind(event="recovery.phase", phase=passed.phase.value, after_ms=passed.after, **passed.facts).info(
@@ -409,7 +409,7 @@
 
     def _listed(self, told: i.ListTold) -> None:
         self.recovery.listed(self._clock.now())
-        self.heard_since_kept = True
+        self.changed_since_saved = True
         if self._tracer:
             self._tracer.listed()
         self.feed(told)
@@ -485,16 +485,16 @@
         if not self.invariants.may_send(entry.id, cls, entry.attempts[: number + 1], self._clock.now()):
             return False
         try:
-            self._journal.attempt(entry.number, number, attempt.sent_at, attempt.zone)
+            self._journal.record_attempt(entry.number, number, attempt.sent_at, attempt.zone)
             if self._copies and self._copies.is_copied(entry.number):
                 attempt.until = min(attempt.sent_at + (to_ms(action.timeout) or math.inf), entry.deadline)
-                self._journal.until(entry.number, number, attempt.until)
+                self._journal.record_attempt_deadline(entry.number, number, attempt.until)
         except JournalFull as err:
             logger.error("journal: {}", err)
             return False
         message.written.add(number)
         if not self.recovery.over:
-            self.recovery.tried(entry.number)
+            self.recovery.attempt_started(entry.number)
         return True
 
     async def _call(
@@ -578,7 +578,7 @@
         if not self.recovery.over:
             self.recovery.answered(now, message.entry.dest)
             if result.ended:
-                self.recovery.did(now, RecoveryCounter.SERVED, number)
+                self.recovery.count(now, RecoveryCounter.SERVED, number)
         message.calls.pop(attempt, None)
         if self._tracer:
             self._tracer.settled(number, attempt, result.outcome, result.wait, result.ended)
@@ -590,7 +590,7 @@
                 self._closed(number)
         else:
             try:
-                self._journal.outcome(number, attempt, not result.outcome.never_ran)
+                self._journal.record_outcome(number, attempt, not result.outcome.never_ran)
             except Exception as err:  # after a restart the attempt counts as one that may have run
                 logger.error("journal: {}", err)
             made = message.entry.attempts[attempt]
@@ -631,7 +631,7 @@
         if (message := self._forget(number)) is None:
             return
         if not self.recovery.over:
-            self.recovery.did(self._clock.now(), RecoveryCounter.REFUSED, number)
+            self.recovery.count(self._clock.now(), RecoveryCounter.REFUSED, number)
         if self._tracer:
             self._tracer.ended(number, end.handed_back, end.retry_in)
         if message.told and message.told.reply:
@@ -646,28 +646,28 @@
 
     def _record_end(self, entry: Entry, end: End) -> None:
         try:
-            self._journal.end(entry.number, end)
+            self._journal.record_end(entry.number, end)
         except Exception as err:  # after a restart the decisions come to an end of their own
             logger.error("journal: {}", err)
 
-    def _tell_end(self, notice: Notice) -> None:
+    def _send_notice(self, notice: Notice) -> None:
         if self._copies:  # a successor that does not know of the end would come to another
             self._copies.when_safe(notice.number, lambda: self._notices.add(notice))
         else:
             self._notices.add(notice)
 
-    async def _write_owed(self) -> None:
+    async def _write_pending(self) -> None:
         """Try again what the disk refused, and tell the ends that waited for it. Asleep while it refuses nothing."""
         while True:
             if not (self._journal.refusing or len(self._pending_ends)):
                 await self._disk_refused.wait()
             await anyio.sleep(_DISK_S)
-            self._journal.write_owed()
+            self._journal.write_pending()
             self._pending_ends.release()
 
     def _closed(self, number: int) -> None:
         try:
-            self._journal.closed(number)
+            self._journal.record_closed(number)
         except Exception as err:  # after a restart the message is taken up again, which does no harm
             logger.error("journal: {}", err)
         if self._tracer:
@@ -682,10 +682,10 @@
     def _read_known(self) -> None:
         """The list of the configuration, or a newer one that an earlier life stored."""
         lists = [(self._config.known, "the configuration")]
-        if memory := self._memory_of_world:
+        if memory := self._state_cache:
             revision = self._config.known.get("revision", -1) if self._config.known else -1
             memory.read(self._clock.now(), str(self._config.discovery), revision if type(revision) is int else -1)
-            if (told := memory.believed) and told.members:
+            if (told := memory.validated) and told.members:
                 stored = {"revision": told.revision, "complete": True, "members": list(told.members)}
                 lists.insert(0, (stored, "an earlier life"))
         for known, whose in lists:
@@ -703,16 +703,16 @@
     def _recover(self) -> None:
         """Tell the decisions what an earlier life left open, and send the notices that it still owes."""
         now, entries = self._clock.now(), list(self._journal.entries.values())
-        if memory := self._memory_of_world:
-            memory.mend(entries)
-            if recalled := memory.recalled(self._directory.number, now):
+        if memory := self._state_cache:
+            memory.correct_entries(entries)
+            if recalled := memory.restored_state(self._directory.number, now):
                 self.feed(recalled)
-        self._tell_damage()
+        self._log_damage()
         if self._copies:  # whose those are the store has to say
             self._covered = {entry.number: entry for entry in entries if self._copies.covers(entry)}
             entries = [entry for entry in entries if entry.number not in self._covered]
         self._journal.entries.clear()
-        arrived = self._taken_up(entries)
+        arrived = self._adopted_events(entries)
         if entries:
             logger.info("from the journal: {} messages, {} notices", len(arrived), len(self._notices))
         self.recovery.folder(
@@ -723,7 +723,7 @@
         )
         self.feed(*arrived)
 
-    def _taken_up(self, entries: Sequence[Entry]) -> list[i.Arrived]:
+    def _adopted_events(self, entries: Sequence[Entry]) -> list[i.Arrived]:
         """Owe these messages their ends; what the decisions are to be told of them."""
         now, arrived = self._clock.now(), []
         for entry in entries:
@@ -766,7 +766,7 @@
             if entry.origin and not entry.origin.confirmed:
                 self._confirmed(entry)
             self._copies.opening(entry)
-        arrived = self._taken_up(list(self._covered.values()))
+        arrived = self._adopted_events(list(self._covered.values()))
         if self._covered:
             logger.info("from the journal, once the fleet was asked: {} messages", len(arrived))
         self._covered.clear()
@@ -777,11 +777,11 @@
         assert entry.origin
         entry.origin = replace(entry.origin, confirmed=True)
         try:
-            self._journal.origin(entry.number, entry.origin)
+            self._journal.record_origin(entry.number, entry.origin)
         except JournalFull as err:  # a later life asks the store again
             logger.error("journal: {}", err)
 
-    def take_up(self, entries: Sequence[Entry]) -> list[int]:
+    def adopt(self, entries: Sequence[Entry]) -> list[int]:
         """Journal messages of another relay under numbers of this one's; nothing is done with them yet."""
         assert self._copies
         numbers = []
@@ -792,7 +792,7 @@
             entry = replace(told, number=self._journal.next_number)
             self._copies.opening(entry)
             try:
-                self._journal.whole(entry)
+                self._journal.record_complete(entry)
             except JournalFull as err:  # it is owed its end all the same, and this process knows it
                 logger.error("journal: {}", err)
             self._adopting[entry.number] = entry
@@ -830,12 +830,12 @@
     def _enter(self, entry: Entry, after_ms: float) -> None:
         """A message that was taken over is told to the decisions, at once or later."""
         if after_ms <= 0:
-            self.feed(*self._taken_up([entry]))
+            self.feed(*self._adopted_events([entry]))
             return
 
         async def later() -> None:
             await anyio.sleep(after_ms / 1e3)
-            self.feed(*self._taken_up([entry]))
+            self.feed(*self._adopted_events([entry]))
 
         assert self._tasks
         self._tasks.start_soon(later)
@@ -851,7 +851,7 @@
                 self._by_id.pop(entry.id, None)
                 self._closed(number)
 
-    def let_go(self) -> int:
+    def release_copied(self) -> int:
         """Begin nothing more for copied messages; how many have an attempt out still."""
         self.letting_go = True
         out = 0
@@ -873,11 +873,11 @@
             return True
         return False
 
-    async def copied(self, number: int) -> bool:
+    async def replicated(self, number: int) -> bool:
         """Before a client is told that its message is taken on: whether it is copied as its class asks."""
         return self._copies is None or await self._copies.until_taken_on(number, _COPIED_S)
 
-    def awaits_copies(self, number: int) -> bool:
+    def awaits_replication(self, number: int) -> bool:
         return self._copies is not None and not self._copies.may_be_taken_on(number)
 
     def _doubt(self, entry: Entry) -> None:
@@ -892,11 +892,11 @@
                 self._record_end(entry, end)
             elif (missing := indeterminate.missing_attempt(entry, cls)) is not None:
                 entry.attempts.append(missing)
-                self._journal.attempt(entry.number, len(entry.attempts) - 1, missing.sent_at, missing.zone)
+                self._journal.record_attempt(entry.number, len(entry.attempts) - 1, missing.sent_at, missing.zone)
         except JournalFull as err:  # the next life comes to the same
             logger.error("journal: {}", err)
 
-    def _tell_damage(self) -> None:
+    def _log_damage(self) -> None:
         """Each damaged stretch by segment and offset, the first few one by one, and what it means for messages."""
         journal = self._journal
         if not journal.damage and not journal.orphans:
--- a/calicohitch/recovery/recovery_phases.py
+++ b/calicohitch/recovery/recovery_phases.py
@@ -57,22 +57,22 @@
         self._restored: set[int] = set()
         self._untried: set[int] = set()  # restored messages that were owed a call, and had none yet
         self._tried = self._unseen = 0  # how many of those had one, and were given up without
-        self._untold: set[int] = set()  # destinations of restored work without a limit or an answer
+        self._limits_pending: set[int] = set()  # destinations of restored work without a limit or an answer
         self._second = 0
         self._counts: Counter[RecoveryCounter] = Counter()
         self.seconds: list[tuple[int, dict[str, int]]] = []  # those that are over and not told yet
         self.over = False  # asked for each message
-        self.told = False  # all of it, to the last second
+        self.reported = False  # all of it, to the last second
         self._pass(RecoveryPhase.UP, up)
 
     def folder(self, now: float, restored: dict[int, int], damaged: int, untried: Collection[int] = ()) -> None:
         """The journal is read: restored messages with their destinations, those of them that may not have been called
         yet, and damaged stretches."""
-        self._restored, self._untold, self._untried = set(restored), set(restored.values()), set(untried)
+        self._restored, self._limits_pending, self._untried = set(restored), set(restored.values()), set(untried)
         self._pass(RecoveryPhase.FOLDER, now, restored=len(restored), damaged=damaged, untried=len(untried))
         self._look(now)
 
-    def tried(self, number: int) -> None:
+    def attempt_started(self, number: int) -> None:
         """A call of a message is made."""
         if number in self._untried:
             self._untried.discard(number)
@@ -85,11 +85,11 @@
 
     def answered(self, now: float, dest: int) -> None:
         """A destination answered a call, with its limit where it has one."""
-        if self._untold:
-            self._untold.discard(dest)
+        if self._limits_pending:
+            self._limits_pending.discard(dest)
             self._look(now)
 
-    def did(self, now: float, what: RecoveryCounter, number: int = 0) -> None:
+    def count(self, now: float, what: RecoveryCounter, number: int = 0) -> None:
         """Something to count; the end of a restored message goes by its number."""
         if self.over:
             return
@@ -109,20 +109,20 @@
             self._roll(now)
             self._look(now)
             if now - self._up > LONGEST_MS:
-                self._pass(RecoveryPhase.UNENDED, now, restored=len(self._restored), untold=len(self._untold))
+                self._pass(RecoveryPhase.UNENDED, now, restored=len(self._restored), untold=len(self._limits_pending))
         elif self._counts:
             self._close_second()
-        told, self._new_phases = self._new_phases, []
-        self.told = self.over
-        return told
+        reached, self._new_phases = self._new_phases, []
+        self.reported = self.over
+        return reached
 
     def _look(self, now: float) -> None:
         if RecoveryPhase.FOLDER not in self._passed:
             return
         if not self._restored:
             self._pass(RecoveryPhase.BACKLOG, now, tried=self._tried, unseen=self._unseen)
-            self._untold.clear()  # nothing waits for them any more
-        if not self._untold:
+            self._limits_pending.clear()  # nothing waits for them any more
+        if not self._limits_pending:
             self._pass(RecoveryPhase.LIMITS, now)
         if self._passed.keys() >= {RecoveryPhase.LIST, RecoveryPhase.LIMITS, RecoveryPhase.BACKLOG}:
             self._pass(RecoveryPhase.FULL, now)
--- a/calicohitch/recovery/repair.py
+++ b/calicohitch/recovery/repair.py
@@ -60,7 +60,7 @@
 _BY_TOP = {crc >> 24: byte for byte, crc in enumerate(_TABLE)}
 
 
-def mend(payload: bytes, checksum: int) -> bytes | None:
+def repair_record(payload: bytes, checksum: int) -> bytes | None:
     """The payload that this checksum was made of, if a change of exactly one byte, of it or of the checksum, explains
     the difference, and no second one does."""
     difference = zlib.crc32(payload) ^ checksum
@@ -134,7 +134,7 @@
     plausible = SHORTEST <= length <= LARGEST
     if plausible and end <= len(data) and (_whole(data, end) is not None or _torn(data, end)):
         payload = data[start:end]
-        mended = mend(payload, checksum)
+        mended = repair_record(payload, checksum)
         if mended is not None and 0 < mended[0] < KINDS:
             return Record(at, mended, "a byte"), end
         return Lost(at, end - at, payload=payload), end
--- a/calicohitch/recovery/state_cache.py
+++ b/calicohitch/recovery/state_cache.py
@@ -27,24 +27,24 @@
     """One relay's stored beliefs. `read` once at the start, `keep` now and then."""
 
     def __init__(self, folder: Path, incarnation: int, classes: Sequence[str], waits_outlast: bool = False) -> None:
-        self._keeper, self._incarnation, self._classes = StateFiles(folder), incarnation, classes
+        self._files, self._incarnation, self._classes = StateFiles(folder), incarnation, classes
         self._waits_outlast = waits_outlast
-        self._kept_at = -_EVERY_MS
+        self._saved_at = -_EVERY_MS
         self._failed = False
         self.found: cached_state.CachedState | None = None
-        self.believed: cached_state.ValidatedState | None = None
+        self.validated: cached_state.ValidatedState | None = None
 
     def read(self, wall: float, discovery: str, known_revision: int) -> None:
         """What an earlier life stored, as far as it is believed at `wall`; the rest is logged once with its age."""
         try:
-            self.found = self._keeper.read()
+            self.found = self._files.read()
         except cached_state.InvalidCachedState as err:
             logger.bind(event="recovery.unread").warning("what an earlier life knew is not believed: {}", err)
             return
         if self.found is None:
             return
         now = clocks.now(wall)
-        told = self.believed = cached_state.validate(
+        told = self.validated = cached_state.validate(
             self.found, now, discovery, known_revision, self._classes, self._waits_outlast
         )
         for part, age, why in told.left_out:
@@ -56,10 +56,10 @@
                 "the wall clock was set by {:+.1f} s since an earlier life: its times are moved", told.set_by / 1e3
             )
 
-    def mend(self, entries: Sequence[Entry]) -> None:
+    def correct_entries(self, entries: Sequence[Entry]) -> None:
         """Move the times of an earlier life's messages to the wall clock as it is now, and doubt them all where the
         folder may be a copy of long ago: what was tried since is not in it."""
-        told, found = self.believed, self.found
+        told, found = self.validated, self.found
         if told is None or found is None or not entries:
             return
         if told.set_by:
@@ -81,9 +81,9 @@
                 if not entry.doubtful:
                     entry.doubtful, entry.whole_until = True, found.written.wall + told.set_by
 
-    def recalled(self, number: Callable[[str], int | None], wall: float) -> RestoredState | None:
+    def restored_state(self, number: Callable[[str], int | None], wall: float) -> RestoredState | None:
         """What the decisions are told; `number` of an endpoint by its name, None where the list does not name it."""
-        if (told := self.believed) is None:
+        if (told := self.validated) is None:
             return None
         routes = []
         for route in told.routes:
@@ -105,9 +105,9 @@
 
     def due(self, wall: float) -> bool:
         """Whether the last write is a second old: asked before what is known is gathered."""
-        return wall - self._kept_at >= _EVERY_MS
+        return wall - self._saved_at >= _EVERY_MS
 
-    def keep(
+    def save(
         self,
         wall: float,
         known: RestoredState,
@@ -117,7 +117,7 @@
         members: Callable[[], Sequence[dict[str, Any]]],
     ) -> None:
         """Store what is known now; `members` in discovery's form. Routes of which nothing is known are left out."""
-        self._kept_at = wall
+        self._saved_at = wall
         routes = tuple(
             cached_state.KnownRoute(
                 was.dest,
@@ -141,7 +141,7 @@
             on_time,
         )
         try:
-            self._keeper.write(cached_state.encode(told))
+            self._files.write(cached_state.encode(told))
             self._failed = False
         except OSError as err:  # the journal goes on; the next life starts with less
             if not self._failed:
--- a/calicohitch/service.py
+++ b/calicohitch/service.py
@@ -16,7 +16,7 @@
 from .clock import Clock, to_ms
 from .config import Address, Config
 from .config.operator import Operator
-from .core.signals import SignalState, heeded
+from .core.signals import SignalState, handling_signals
 from .core.system_errors import Step, of_this_machine
 from .journal import DISK_SHARE, Journal
 from .intake.admission.settings import AdmissionSettings
@@ -52,7 +52,7 @@
     folder cannot be used, is another process's, or became a later life's."""
     clock, operator = clock or Clock(), operator or Operator()
     up_at = clock.now()
-    async with heeded() as told:
+    async with handling_signals() as told:
         with anyio.CancelScope() as starting:  # nothing is owed before the folder is this life's
             told.on_stop = starting.cancel
             lease = await acquire_folder(config.state, operator.recovery.folder_wait_ms / 1e3)
@@ -114,7 +114,7 @@
                 tasks.start_soon(clients.run)
                 if calls:
                     tasks.start_soon(calls.run)
-                told.reload_by(_Reloads(relay, reload, tasks).signalled)
+                told.set_reload_handler(_Reloads(relay, reload, tasks).signalled)
                 await told.stop.wait()
                 logger.bind(event="relay.stopping").info("stopping: new messages are refused, open ones go on")
                 relay.stopping = True
@@ -129,7 +129,7 @@
                 await clients.finish()
                 if tracer:
                     await tracer.drain()
-                relay.keep()
+                relay.save_state()
                 tasks.cancel_scope.cancel()
         finally:
             relay.close()
@@ -183,7 +183,7 @@
     """Give copied work to those who hold copies, before the lease goes: what is out ends first, for a while."""
     takeover.stop_taking()
     with anyio.move_on_after(_HAND_OVER_S):
-        while relay.let_go():
+        while relay.release_copied():
             await anyio.sleep(0.02)
     await takeover.hand_over(_HAND_OVER_S)
 
--- a/calicohitch/tracing/spans.py
+++ b/calicohitch/tracing/spans.py
@@ -213,8 +213,14 @@
     span.attributes[network_attributes.NETWORK_PROTOCOL_NAME] = "http"
     if attempt.status:
         span.attributes[http_attributes.HTTP_RESPONSE_STATUS_CODE] = attempt.status
-    noted = (("connected", attempt.connected_at), ("request sent", attempt.sent_at), ("answer", attempt.answered_at))
-    span.events = tuple((min(max(round(at * 1e6), span.start_ns), span.end_ns), name) for name, at in noted if at)
+    peer_reported = (
+        ("connected", attempt.connected_at),
+        ("request sent", attempt.sent_at),
+        ("answer", attempt.answered_at),
+    )
+    span.events = tuple(
+        (min(max(round(at * 1e6), span.start_ns), span.end_ns), name) for name, at in peer_reported if at
+    )
 
 
 def _end_of(facts: Facts, attempt: AttemptFacts, make: _Maker) -> float:
--- a/calicohitch/tracing/tracer.py
+++ b/calicohitch/tracing/tracer.py
@@ -133,7 +133,7 @@
 
     # The life of a message, as the relay tells it.
 
-    def taking(self, entry: Entry, headers: Headers, now: float, again: bool) -> bytes:
+    def submission_received(self, entry: Entry, headers: Headers, now: float, again: bool) -> bytes:
         """A message is about to be taken on at `now`; returns what its journal record is to say."""
         facts = self._begin(entry.id, entry.class_name, entry.dest, headers, entry.key, now, again)
         facts.deadline, facts.body_size = entry.deadline, len(entry.body)
@@ -144,11 +144,11 @@
         head = _RECORD.pack(now, own.trace_id, own.span_id, facts.parent, own.flags, again)
         return head + own.state.encode()
 
-    def taken(self, number: int) -> None:
+    def submission_recorded(self, number: int) -> None:
         facts = self._live[number]
         facts.journal_ms = self._clock.now() - facts.taken_at
 
-    def turned_away(
+    def submission_refused(
         self, wire_id: str, class_index: int, dest: int, headers: Headers, key: str | None, why: str, again: bool
     ) -> None:
         """A message was refused before it was taken on: its whole story is here."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -36,7 +36,7 @@
             "rules": RULES,
             "tick": 5 * MS,
         }
-        self.sender = DecisionEngine(i.Settings(**(told | changes)), seed=seed)
+        self.engine = DecisionEngine(i.Settings(**(told | changes)), seed=seed)
         self.now = 1_000 * SECOND
         self.out: dict[tuple[int, int], int] = {}
         self.sent_at: dict[tuple[int, int], int] = {}
@@ -45,7 +45,7 @@
 
     def tell(self, *events: i.Event) -> list[i.Action]:
         """Hand over events at the present time and book the sends."""
-        actions = self.sender.handle(self.now, events)
+        actions = self.engine.handle(self.now, events)
         for action in actions:
             if isinstance(action, i.Send):
                 attempt = self.attempts.get(action.message, 0)
--- a/tests/failover/test_decisions.py
+++ b/tests/failover/test_decisions.py
@@ -381,7 +381,7 @@
         self.assertEqual(again.name, held.name)
         self.assertEqual(again.gave_up, {0})
         again.begin(0)
-        again.whole(0)
+        again.record_complete(0)
         self.assertEqual(again.gave_up, set())
 
     def test_sets_that_cannot_be_read_are_removed(self) -> None:
@@ -393,13 +393,13 @@
 
     def test_an_origin_is_kept_and_an_unknown_kind_is_skipped(self) -> None:
         journal = Journal(self.folder, 1e6)
-        journal.taken(self.entry(1))
-        journal.origin(1, Origin("r0", 3, 1))
+        journal.record_accepted(self.entry(1))
+        journal.record_origin(1, Origin("r0", 3, 1))
         journal.close()
         self.assertEqual(Journal(self.folder, 1e6).entries[1].origin, Origin("r0", 3, 1))
         journal = Journal(self.folder, 1e6)
         journal._append(20, 1, b"of a kind that this program does not know")  # type: ignore[arg-type]
-        journal.origin(1, Origin("r0", 3, 1, confirmed=True))
+        journal.record_origin(1, Origin("r0", 3, 1, confirmed=True))
         journal.close()
         known = Journal(self.folder, 1e6)
         self.assertEqual((known.entries[1].origin, known.damage), (Origin("r0", 3, 1, confirmed=True), []))
--- a/tests/failover/test_out.py
+++ b/tests/failover/test_out.py
@@ -62,8 +62,8 @@
             relay: Any = mock.Mock()
             relay._journal, relay._by_id, relay._adopting = first, {}, {}
             relay._config.names.classes = ("keyed", "safe", "unsafe")
-            first.copier = lambda _number, payload, _over: held.copied(payload)
-            numbers = Relay.take_up(relay, [told, ended])
+            first.copier = lambda _number, payload, _over: held.append_replica(payload)
+            numbers = Relay.adopt(relay, [told, ended])
             first.close()
             held.close()
             for place in (folder, holder):
--- a/tests/faults/test_folder.py
+++ b/tests/faults/test_folder.py
@@ -74,7 +74,7 @@
     def test_a_segment_that_cannot_be_read_for_a_moment_is_read(self) -> None:
         async def test(world: World) -> None:
             journal = Journal(world.folder / "state", 3e6)
-            journal.taken(Entry(1, "m1", "orders", 7, world.clock.now() + 20_000, "k", b"body"))
+            journal.record_accepted(Entry(1, "m1", "orders", 7, world.clock.now() + 20_000, "k", b"body"))
             journal.close()
             program = Program(world)
             code = (
--- a/tests/faults/test_records_owed.py
+++ b/tests/faults/test_records_owed.py
@@ -77,13 +77,13 @@
     def test_what_was_refused_is_written_before_what_comes_next(self) -> None:
         journal = self.again()
         for number in (1, 2, 3):
-            journal.taken(entry(number))
-        journal.attempt(3, 0, 12.0, 0)
-        self.refused(journal.end, 1, End(True, 250.0))
-        self.refused(journal.closed, 2)
-        self.refused(journal.outcome, 3, 0, False)
+            journal.record_accepted(entry(number))
+        journal.record_attempt(3, 0, 12.0, 0)
+        self.refused(journal.record_end, 1, End(True, 250.0))
+        self.refused(journal.record_closed, 2)
+        self.refused(journal.record_outcome, 3, 0, False)
         for number in range(4, 41):
-            journal.taken(entry(number))
+            journal.record_accepted(entry(number))
         known = self.again()
         self.assertEqual(known.entries[1].end, End(True, 250.0))
         self.assertNotIn(2, known.entries)
@@ -93,19 +93,19 @@
     def test_nothing_new_is_taken_on_or_tried_before_it(self) -> None:
         """What depends on an owed record is refused as long as that one is."""
         journal = self.again()
-        journal.taken(entry(1))
-        journal.taken(entry(2))
+        journal.record_accepted(entry(1))
+        journal.record_accepted(entry(2))
         disk = Disk()
         with disk.failing():
             disk.refuses = True
             with suppress(JournalFull):
-                journal.end(1, End(True))
+                journal.record_end(1, End(True))
             with self.assertRaises(JournalFull):
-                journal.taken(entry(3))
+                journal.record_accepted(entry(3))
             with self.assertRaises(JournalFull):
-                journal.attempt(2, 0, 5.0, 0)
+                journal.record_attempt(2, 0, 5.0, 0)
             disk.refuses = False
-            journal.attempt(2, 0, 6.0, 0)
+            journal.record_attempt(2, 0, 6.0, 0)
         known = self.again()
         self.assertEqual(known.entries[1].end, End(True))
         self.assertEqual(known.entries[2].attempts, [Attempt(6.0, 0)])
@@ -115,8 +115,8 @@
         real = os.write
         journal = self.again()
         with mock.patch.object(os, "write", lambda fd, data: real(fd, bytes(data)[: max(1, len(data) // 2)])):
-            journal.taken(entry(1))
-            journal.attempt(1, 0, 5.0, 0)
+            journal.record_accepted(entry(1))
+            journal.record_attempt(1, 0, 5.0, 0)
         (known,) = self.again().entries.values()
         self.assertEqual((known.body, known.attempts), (b"body", [Attempt(5.0, 0)]))
 
--- a/tests/faults/test_refusals.py
+++ b/tests/faults/test_refusals.py
@@ -20,16 +20,16 @@
                 for share in shares:
                     for n in range(5):
                         share.came(n * SECOND)
-                        share.told(n * SECOND, (0.8, 60.0), False)
+                        share.observe(n * SECOND, (0.8, 60.0), False)
                 for n in range(5, 9):
-                    shares[0].told(n * SECOND, (), True)
-                    shares[1].told(n * SECOND, (0.0, 60.0), True)
+                    shares[0].observe(n * SECOND, (), True)
+                    shares[1].observe(n * SECOND, (0.0, 60.0), True)
                 self.assertAlmostEqual(shares[0].rate(), shares[1].rate())
 
     def test_it_tells_nothing_where_no_limit_is_known(self) -> None:
         share = share_of(200, FIELDS)
-        share.told(SECOND, (), True)
-        self.assertEqual((share.limit, share.heard, share.rate()), (0.0, False, 0.0))
+        share.observe(SECOND, (), True)
+        self.assertEqual((share.limit, share.reported, share.rate()), (0.0, False, 0.0))
 
 
 if __name__ == "__main__":
--- a/tests/faults/test_sockets.py
+++ b/tests/faults/test_sockets.py
@@ -90,7 +90,7 @@
         with failing:
             async with world.relay(settings=settings("unsafe")) as relay:
                 client = await Link.connect(world.client)
-                with mock.patch.object(relay._journal, "attempt", lambda *record: recorded.append(record)):
+                with mock.patch.object(relay._journal, "record_attempt", lambda *record: recorded.append(record)):
                     blocked[0] = True
                     await client.send(MESSAGE % b"m0")
                     await answer_of(client)
--- a/tests/faults/test_stored_state.py
+++ b/tests/faults/test_stored_state.py
@@ -26,7 +26,7 @@
             memory = StateCache(Path(made), 1, ("orders",))
 
             def keep(at: float) -> None:
-                memory.keep(at, RestoredState((), ((1, 2),)), str, "d", int(at), list)
+                memory.save(at, RestoredState((), ((1, 2),)), str, "d", int(at), list)
 
             keep(1e12)
             real, last = os.write, [False]
--- a/tests/faults/test_sweep.py
+++ b/tests/faults/test_sweep.py
@@ -111,9 +111,9 @@
     for count in (1, 7):
         lease, journal, memory = began(folder)
         for _ in range(count):
-            journal.taken(entry(journal.next_number))
+            journal.record_accepted(entry(journal.next_number))
         left = set(journal._home)
-        memory.keep(1e12, RestoredState((), ((1, 2),)), str, "d", 1, list)
+        memory.save(1e12, RestoredState((), ((1, 2),)), str, "d", 1, list)
         journal.close()
         lease.close()
     oldest = min(folder.glob("journal-*.log"))
@@ -138,7 +138,7 @@
             self._take(step)
             if step % 3 == 0:
                 self.lease.renew()
-                self.memory.keep(1e12 + step * 2_000.0, RestoredState((), ((1, 2),)), str, "d", 1, list)
+                self.memory.save(1e12 + step * 2_000.0, RestoredState((), ((1, 2),)), str, "d", 1, list)
             for number in sorted(self.known.taken)[-3:]:
                 self._try(number)
             self._end(step)
@@ -147,7 +147,7 @@
         """Refused is refused: the client goes elsewhere. Taken is taken."""
         number = self.journal.next_number
         with suppress(JournalFull):
-            self.journal.taken(entry(number))
+            self.journal.record_accepted(entry(number))
             self.known.taken.add(number)
 
     def _try(self, number: int) -> None:
@@ -155,27 +155,27 @@
             return
         attempt = self.known.tried.get(number, 0)
         with suppress(JournalFull):
-            self.journal.attempt(number, attempt, 1e12, 0)
+            self.journal.record_attempt(number, attempt, 1e12, 0)
             self.known.tried[number] = attempt + 1
-            self.journal.outcome(number, attempt, may_have_run=attempt == 1)
+            self.journal.record_outcome(number, attempt, may_have_run=attempt == 1)
 
     def _end(self, step: int) -> None:
         """Every second one is delivered, the others end by a notice, told once its record is not owed any more."""
         for number in sorted(set(self.known.ended) - self.known.closed)[:-2]:  # its notice was acknowledged
-            self.journal.closed(number)
+            self.journal.record_closed(number)
             self.known.closed.add(number)
         waiting = sorted(self.known.taken - set(self.known.ended) - self.known.closed)
         if len(waiting) <= 3:
             return
         number = waiting[0]
         if step % 2:
-            self.journal.closed(number)
+            self.journal.record_closed(number)
             self.known.closed.add(number)
             return
         end = End(True, 100.0 + number % 7)
-        self.journal.end(number, end)
-        self.journal.write_owed()
-        if not self.journal.owes(number):
+        self.journal.record_end(number, end)
+        self.journal.write_pending()
+        if not self.journal.has_pending(number):
             self.known.ended[number] = end
 
     def serves_again(self) -> None:
@@ -184,9 +184,9 @@
             self.lease.check()
         for _ in range(2):
             number = self.journal.next_number
-            self.journal.taken(entry(number))
+            self.journal.record_accepted(entry(number))
             self.known.taken.add(number)
-        if self.journal.refusing or any(self.journal.owes(number) for number in self.known.taken):
+        if self.journal.refusing or any(self.journal.has_pending(number) for number in self.known.taken):
             raise Broken("records are owed on a disk that takes them")
 
     def kill(self) -> None:
@@ -304,7 +304,7 @@
             with suppress(JournalFull):
                 self._append(kind, number, data)  # type: ignore[arg-type]
 
-        with mock.patch.object(Journal, "_append_or_owe", drops):
+        with mock.patch.object(Journal, "_append_or_queue", drops):
             self.assertTrue(self.found("write", errno.EIO))
 
     def test_half_a_record_that_stays(self) -> None:
--- a/tests/faults/test_time.py
+++ b/tests/faults/test_time.py
@@ -21,9 +21,9 @@
             with self.subTest(step=step), tempfile.TemporaryDirectory() as folder:
                 clock = Clock()
                 first = Journal(Path(folder), 3e6)
-                first.taken(Entry(1, "m1", "orders", 7, clock.now() + 30_000.0, "k", b"body"))
-                first.attempt(1, 0, clock.now(), 0)
-                first.until(1, 0, clock.now() + 500.0)
+                first.record_accepted(Entry(1, "m1", "orders", 7, clock.now() + 30_000.0, "k", b"body"))
+                first.record_attempt(1, 0, clock.now(), 0)
+                first.record_attempt_deadline(1, 0, clock.now() + 500.0)
                 first.close()
                 real = time.time
                 with mock.patch.object(time, "time", lambda step=step, real=real: real() + step):
@@ -39,14 +39,14 @@
         with tempfile.TemporaryDirectory() as folder:
             real, started = time.time, Clock().now()
             first = Journal(Path(folder), 3e6)
-            first.taken(Entry(1, "m1", "orders", 7, started + 30_000.0, "k", b"body"))
+            first.record_accepted(Entry(1, "m1", "orders", 7, started + 30_000.0, "k", b"body"))
             first.close()
             for n, step in enumerate((-60.0, 500.0)):
                 with mock.patch.object(time, "time", lambda step=step: real() + step):
                     incarnation = Journal(Path(folder), 3e6)
                     now = Clock().now()
                     self.assertAlmostEqual((incarnation.entries[1].deadline - now) / 1e3, 30.0, delta=0.2)
-                    incarnation.attempt(1, n, now, 0)
+                    incarnation.record_attempt(1, n, now, 0)
                     incarnation.close()
             last = Journal(Path(folder), 3e6)
             self.addCleanup(last.close)
--- a/tests/fleet/mutants.py
+++ b/tests/fleet/mutants.py
@@ -51,7 +51,7 @@
 def _attempts() -> None:
     from calicohitch.journal import Journal
 
-    Journal.attempt = lambda self, *_: None  # type: ignore[method-assign]
+    Journal.record_attempt = lambda self, *_: None  # type: ignore[method-assign]
 
 
 @_mutant("no record of ends", "repeat")
@@ -62,7 +62,7 @@
         if number in self._home:
             self._forget(number)
 
-    Journal.closed = closed  # type: ignore[method-assign]
+    Journal.record_closed = closed  # type: ignore[method-assign]
     _attempts()
 
 
@@ -101,7 +101,7 @@
 def _unpaced() -> None:
     from calicohitch.core.limit_share import LimitShare
 
-    LimitShare.suppose = lambda self, now, limit: None  # type: ignore[method-assign]
+    LimitShare.assume_limit = lambda self, now, limit: None  # type: ignore[method-assign]
 
 
 @_mutant("keys are remembered for ever", "repeat")
--- a/tests/fleet/test_takeovers.py
+++ b/tests/fleet/test_takeovers.py
@@ -87,9 +87,9 @@
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             journal = Journal(folder, 1e6)
-            journal.taken(Entry(1, "m", "orders", 7, 5e12, "k", b"body", [Attempt(1.0, 0)]))
-            journal.origin(1, Origin("r9", 4, 2))
-            journal.closed(1)
+            journal.record_accepted(Entry(1, "m", "orders", 7, 5e12, "k", b"body", [Attempt(1.0, 0)]))
+            journal.record_origin(1, Origin("r9", 4, 2))
+            journal.record_closed(1)
             holdings = ReplicaStore(folder / "copies", 1e6, lambda: 0.0)  # type: ignore[arg-type]
             holdings.open("r/9", 4, 2)
             before = sorted((path, path.stat().st_mtime_ns) for path in folder.rglob("*"))
--- a/tests/intake/test_admission.py
+++ b/tests/intake/test_admission.py
@@ -86,12 +86,12 @@
     @rule(holder=st.sampled_from(DescriptorUse))
     def take(self, holder: DescriptorUse) -> None:
         free = self.descriptors.free_for(holder)
-        assert self.descriptors.take(holder) is (free > 0)
+        assert self.descriptors.acquire(holder) is (free > 0)
 
     @precondition(lambda self: self.descriptors.held.total())
     @rule(data=st.data())
     def give_back(self, data: st.DataObject) -> None:
-        self.descriptors.give_back(data.draw(st.sampled_from([h for h in DescriptorUse if self.descriptors.held[h]])))
+        self.descriptors.release(data.draw(st.sampled_from([h for h in DescriptorUse if self.descriptors.held[h]])))
 
     @invariant()
     def bounds_hold(self) -> None:
@@ -108,11 +108,11 @@
             self.assertEqual(descriptors.total, sockets)
             self.assertEqual(descriptors.free_for(DescriptorUse.CLIENTS), sockets // 2)
             self.assertEqual(descriptors.free_for(DescriptorUse.CALLS), sockets - sockets // 2 - 24 - grpc)
-            while descriptors.take(DescriptorUse.CLIENTS):
+            while descriptors.acquire(DescriptorUse.CLIENTS):
                 pass
-            self.assertTrue(descriptors.take(DescriptorUse.CALLS) and descriptors.take(DescriptorUse.NOTICES))
-            self.assertIn(f"clients {sockets // 2}", descriptors.told())
-        self.assertRaises(ValueError, DescriptorBudget(1, {}).give_back, DescriptorUse.CALLS)
+            self.assertTrue(descriptors.acquire(DescriptorUse.CALLS) and descriptors.acquire(DescriptorUse.NOTICES))
+            self.assertIn(f"clients {sockets // 2}", descriptors.summary())
+        self.assertRaises(ValueError, DescriptorBudget(1, {}).release, DescriptorUse.CALLS)
         self.assertRaises(ValueError, DescriptorBudget, 1, {DescriptorUse.CALLS: 2})
 
 
--- a/tests/orders/test_restart.py
+++ b/tests/orders/test_restart.py
@@ -230,7 +230,7 @@
     @in_world
     async def test_a_record_that_cannot_be_written_gives_its_slot_back(self, world: World) -> None:
         async with world.relay() as relay:
-            with mock.patch.object(relay._journal, "attempt", side_effect=TypeError("not foreseen")):
+            with mock.patch.object(relay._journal, "record_attempt", side_effect=TypeError("not foreseen")):
                 await world.hand_in("m0", path="/scores", Req_Deadline_Ms="1300")
                 await until(lambda: world.notices)
             self.assertEqual(relay._engine._slots_taken, 0)
@@ -244,7 +244,7 @@
         async with world.relay(settings=told) as relay:
             await world.hand_in("m0")
             await until(lambda: relay.idle)
-            record, failed = relay._journal.attempt, []
+            record, failed = relay._journal.record_attempt, []
 
             def once(*rest: Any) -> None:
                 if not failed:
@@ -252,7 +252,7 @@
                     raise OSError(5, "Input/output error")
                 record(*rest)
 
-            with mock.patch.object(relay._journal, "attempt", once):
+            with mock.patch.object(relay._journal, "record_attempt", once):
                 await world.hand_in("m1")
                 await until(lambda: relay.idle)
         self.assertEqual([r.headers[b"req-id"] for r in world.endpoint.requests], [b"m0", b"m1"])
@@ -298,7 +298,7 @@
     async def test_an_outcome_that_cannot_be_written_is_told_all_the_same(self, world: World) -> None:
         world.answers = [(500, {}, b"")]
         async with world.relay() as relay:
-            with mock.patch.object(relay._journal, "outcome", side_effect=TypeError("not foreseen")):
+            with mock.patch.object(relay._journal, "record_outcome", side_effect=TypeError("not foreseen")):
                 await world.hand_in("m0", path="/scores")
                 await until(lambda: relay.idle)
             self.assertEqual(relay._engine._slots_taken, 0)
--- a/tests/orders/test_settings.py
+++ b/tests/orders/test_settings.py
@@ -101,12 +101,12 @@
         for cap in (1, 2, 3):
             settings = Settings((MessageClass(Effect.SAFE, 10**6, 10**7),), slots=1, open_cap=cap, max_attempts=1)
             with self.subTest(cap=cap):
-                sender = DecisionEngine(settings, 1)
-                sender.handle(0, [ListTold(ListKind.FULL, 1, (Listed(1, 7),))])
-                actions = sender.handle(1, [Arrived(1, 0, 7, 10**7)])
+                engine = DecisionEngine(settings, 1)
+                engine.handle(0, [ListTold(ListKind.FULL, 1, (Listed(1, 7),))])
+                actions = engine.handle(1, [Arrived(1, 0, 7, 10**7)])
                 self.assertEqual([type(a) for a in actions if isinstance(a, Send | Refuse)], [Send])
-                sender = DecisionEngine(settings, 1)
-                actions = sender.handle(1, [Arrived(1, 0, 7, 10**7)])  # held: nobody to send to yet
+                engine = DecisionEngine(settings, 1)
+                actions = engine.handle(1, [Arrived(1, 0, 7, 10**7)])  # held: nobody to send to yet
                 self.assertEqual([a for a in actions if isinstance(a, Refuse)], [])
 
 
--- a/tests/orders/test_shutdown.py
+++ b/tests/orders/test_shutdown.py
@@ -392,7 +392,7 @@
     @in_world
     async def test_it_is_delivered_once_by_the_next_life(self, world: World) -> None:
         async with world.relay() as relay:
-            relay.take(Submission("a1", 0, 7, 5_000, "k1", b"x"))
+            relay.submit(Submission("a1", 0, 7, 5_000, "k1", b"x"))
         async with world.relay() as relay:
             await until(lambda: relay.idle)
         self.assertEqual((len(world.endpoint.requests), world.notices), (1, []))
--- a/tests/recovery/test_cached_state.py
+++ b/tests/recovery/test_cached_state.py
@@ -218,7 +218,7 @@
         mono.start()
         self.addCleanup(mono.stop)
         first = StateCache(self.folder, 3, ("orders",))
-        first.keep(
+        first.save(
             wall,
             RestoredState((RestoredRoute(7, 4, (80.0, 0.5, 2.0), True, 999_000_000, 0),), ((9, 10),)),
             lambda number: f"s-{number}",
@@ -228,18 +228,18 @@
         )
         second = StateCache(self.folder, 4, ("orders",))
         second.read(wall + 500.0, "127.0.0.1:8500", 40)
-        told = second.recalled({"s-4": 12}.get, wall + 500.0)
+        told = second.restored_state({"s-4": 12}.get, wall + 500.0)
         self.assertEqual(
             told, RestoredState((RestoredRoute(7, 12, (80.0, 0.5, 2.0), True, 999_000_000, 0),), ((9, 10),))
         )
         self.assertEqual(
-            second.recalled({}.get, wall + 500.0), RestoredState((), ((9, 10),))
+            second.restored_state({}.get, wall + 500.0), RestoredState((), ((9, 10),))
         )  # the list does not name it
 
     def test_times_are_moved_with_the_clock_and_a_copy_of_long_ago_is_doubted(self) -> None:
         wall = 1_000_000.0
         memory = StateCache(self.folder, 3, ("orders",))
-        memory.keep(wall, RestoredState((), ((0, 0),)), str, "127.0.0.1:8500", 41, list)
+        memory.save(wall, RestoredState((), ((0, 0),)), str, "127.0.0.1:8500", 41, list)
         later = clocks.now(0.0)
         for set_by, passed, doubtful in ((-90_000.0, 600.0, False), (90_000.0, 600.0, False), (0.0, 125_000.0, True)):
             with self.subTest(set_by=set_by, passed=passed):
@@ -248,7 +248,7 @@
                 moment = Moment(wall + passed + set_by, later.mono + passed, later.boot)
                 with mock.patch.object(clocks, "now", lambda wall, moment=moment: moment):
                     second.read(moment.wall, "127.0.0.1:8500", -1)
-                second.mend([entry])
+                second.correct_entries([entry])
                 self.assertAlmostEqual(entry.deadline, wall + 9_000.0 + set_by, delta=1_000.0)
                 self.assertAlmostEqual(entry.attempts[0].sent_at, wall - 50.0 + set_by, delta=1_000.0)
                 self.assertEqual(entry.doubtful, doubtful)
@@ -258,12 +258,12 @@
             (self.folder / name).write_bytes(b"\xff" * 50)
         memory = StateCache(self.folder, 3, ("orders",))
         memory.read(1.0, "127.0.0.1:8500", -1)
-        self.assertIsNone(memory.recalled({}.get, 1.0))
+        self.assertIsNone(memory.restored_state({}.get, 1.0))
         for name in ("beliefs-0", "beliefs-1"):
             (self.folder / name).unlink()
             (self.folder / name).mkdir()
         memory.read(1.0, "127.0.0.1:8500", -1)
-        memory.keep(5_000.0, RestoredState((), ((0, 0),)), str, "127.0.0.1:8500", 1, list)  # logged, and that is all
+        memory.save(5_000.0, RestoredState((), ((0, 0),)), str, "127.0.0.1:8500", 1, list)  # logged, and that is all
 
 
 if __name__ == "__main__":
--- a/tests/recovery/test_corpus.py
+++ b/tests/recovery/test_corpus.py
@@ -79,7 +79,7 @@
                     self.assertGreaterEqual(number, 3 << 32)
                     self.assertTrue(all(one.deadline == one.deadline for one in known.entries.values()))
                     found = set(known.entries)
-                    known.taken(Entry(number, "new", "orders", 7, 5e12, None, b"body"))
+                    known.record_accepted(Entry(number, "new", "orders", 7, 5e12, None, b"body"))
                     known.close()
                     again = Journal(self.folder, 3e6, 4)  # what it read it reads again
                     self.assertEqual(set(again.entries), found | {number})
--- a/tests/recovery/test_damage.py
+++ b/tests/recovery/test_damage.py
@@ -16,7 +16,7 @@
 from calicohitch.journal import Attempt, End, Entry, Journal
 from calicohitch.recovery.indeterminate import end_of, missing_attempt
 from calicohitch.recovery.problems import FolderNewer
-from calicohitch.recovery.repair import Lost, Record, mend, records
+from calicohitch.recovery.repair import Lost, Record, repair_record, records
 
 KEYED = MessageClass(Effect.KEYED, aim=2_500_000, deadline=24_000_000, group="all", window=6_000_000)
 UNSAFE = MessageClass(Effect.UNSAFE, aim=2_500_000, deadline=24_000_000)
@@ -45,10 +45,10 @@
         """100 messages with an attempt each, and every third of another hundred delivered; the segment, who is open."""
         journal = self.journal()
         for number in range(1, 151):
-            journal.taken(entry(number, bytes(40)))
-            journal.attempt(number, 0, 1_000.0 + number, 0)
+            journal.record_accepted(entry(number, bytes(40)))
+            journal.record_attempt(number, 0, 1_000.0 + number, 0)
             if number % 3 == 0:
-                journal.closed(number)
+                journal.record_closed(number)
         journal.close()
         (path,) = self.segments()
         return path.read_bytes(), {n for n in range(1, 151) if n % 3}
@@ -73,8 +73,8 @@
         checksum = zlib.crc32(payload)
         at, change = data.draw(st.integers(0, len(payload) - 1)), data.draw(st.integers(1, 255))
         changed = payload[:at] + bytes([payload[at] ^ change]) + payload[at + 1 :]
-        self.assertEqual(mend(changed, checksum), payload)
-        self.assertEqual(mend(payload, checksum ^ change << 8 * (at % 4)), payload)
+        self.assertEqual(repair_record(changed, checksum), payload)
+        self.assertEqual(repair_record(payload, checksum ^ change << 8 * (at % 4)), payload)
 
 
 class Stretches(Folder):
@@ -98,9 +98,9 @@
 
     def test_a_message_whose_body_is_lost_is_ended(self) -> None:
         journal = self.journal()
-        journal.taken(entry(1))
-        journal.taken(entry(2, bytes(3_000)))
-        journal.taken(entry(3))
+        journal.record_accepted(entry(1))
+        journal.record_accepted(entry(2, bytes(3_000)))
+        journal.record_accepted(entry(3))
         journal.close()
         (path,) = self.segments()
         data = bytearray(path.read_bytes())
@@ -115,15 +115,15 @@
         second = known.entries[2]
         self.assertEqual(end_of(second, KEYED), End(True))
         self.assertEqual(end_of(second, UNSAFE), End(False))
-        known.closed(2)
+        known.record_closed(2)
         self.assertEqual(set(self.journal().entries), {1, 3})  # also when the damage is read again
 
     def test_a_lost_message_with_later_records_is_counted(self) -> None:
         journal = self.journal()
-        journal.taken(entry(1))
+        journal.record_accepted(entry(1))
         first = self.segments()[0].stat().st_size
-        journal.taken(entry(2))
-        journal.attempt(2, 0, 5.0, 0)
+        journal.record_accepted(entry(2))
+        journal.record_attempt(2, 0, 5.0, 0)
         journal.close()
         (path,) = self.segments()
         data = bytearray(path.read_bytes())
@@ -136,14 +136,14 @@
     def test_damaged_segments_are_kept_aside_within_a_bound(self) -> None:
         for _ in range(8):
             journal = self.journal()
-            journal.taken(entry(journal.next_number))
-            journal.taken(entry(journal.next_number))
+            journal.record_accepted(entry(journal.next_number))
+            journal.record_accepted(entry(journal.next_number))
             journal.close()
             path = self.segments()[-1]
             path.write_bytes(path.read_bytes()[:-9] + b"123456789" + bytes(12))
             known = self.journal()
             for number in list(known.entries):
-                known.closed(number)
+                known.record_closed(number)
             known.close()
         kept = list(self.folder.glob("damaged-*"))
         self.assertTrue(1 <= len(kept) <= 4, kept)
@@ -155,9 +155,9 @@
 
     def test_files_of_every_bad_kind(self) -> None:
         journal = self.journal()
-        journal.taken(entry(1))
-        journal.closed(1)
-        journal.taken(entry(2))
+        journal.record_accepted(entry(1))
+        journal.record_closed(1)
+        journal.record_accepted(entry(2))
         journal.close()
         (good,) = self.segments()
         cases = {
@@ -173,8 +173,8 @@
                 known = self.journal()
                 self.assertEqual(set(known.entries), {2})
                 self.assertEqual(known.entries[2].body, b"body")
-                known.taken(entry(known.next_number))
-                known.closed(known.next_number - 1)
+                known.record_accepted(entry(known.next_number))
+                known.record_closed(known.next_number - 1)
                 known.close()
                 for path in self.segments():
                     if path != good:
@@ -184,7 +184,7 @@
         (self.folder / "journal-notes.log").write_text("mine")
         (self.folder / "journal-00000003.log").mkdir()
         known = self.journal()
-        known.taken(entry(1))
+        known.record_accepted(entry(1))
         self.assertEqual(
             [one.what for one in known.damage], ["it cannot be read (Is a directory) and is left as it is"]
         )
@@ -194,9 +194,9 @@
     def test_segments_under_each_others_names(self) -> None:
         journal = Journal(self.folder, 100_000.0)  # small segments
         for number in range(1, 60):
-            journal.taken(entry(number, bytes(200)))
+            journal.record_accepted(entry(number, bytes(200)))
         for number in range(1, 60):
-            journal.attempt(number, 0, 9.0, 0)
+            journal.record_attempt(number, 0, 9.0, 0)
         journal.close()
         paths = self.segments()
         self.assertGreater(len(paths), 3)
@@ -209,7 +209,7 @@
 
     def test_a_newer_format_is_refused_and_left_as_it_is(self) -> None:
         journal = self.journal()
-        journal.taken(entry(1))
+        journal.record_accepted(entry(1))
         journal.close()
         (path,) = self.segments()
         payload = struct.pack(">BQHQI", 8, 0, 99, 0, 1)
@@ -221,8 +221,8 @@
 
     def test_files_of_the_first_format(self) -> None:
         journal = self.journal()
-        journal.taken(entry(1))
-        journal.attempt(1, 0, 7.0, 0)
+        journal.record_accepted(entry(1))
+        journal.record_attempt(1, 0, 7.0, 0)
         journal.close()
         (path,) = self.segments()
         found = [one for one in records(path.read_bytes()) if isinstance(one, Record)]
@@ -270,10 +270,10 @@
             folder = Path(name)
             journal = Journal(folder, 3e6)
             for number in range(1, 30):
-                journal.taken(entry(number))
-                journal.attempt(number, 0, 3.0, 0)
+                journal.record_accepted(entry(number))
+                journal.record_attempt(number, 0, 3.0, 0)
                 if number % 2:
-                    journal.closed(number)
+                    journal.record_closed(number)
             journal.close()
             (path,) = folder.glob("journal-*.log")
             data = bytearray(path.read_bytes())
@@ -284,7 +284,7 @@
             for one in known.entries.values():
                 if one.number % 2 and not one.end:
                     self.assertTrue(one.doubtful or one.attempts or one.bodiless, one)
-            known.taken(entry(known.next_number))
+            known.record_accepted(entry(known.next_number))
             known.close()
             again = Journal(folder, 3e6)
             self.assertEqual(set(again.entries), set(known.entries) | {known.next_number - 1})
--- a/tests/recovery/test_folder_lease.py
+++ b/tests/recovery/test_folder_lease.py
@@ -111,15 +111,15 @@
         journal = Journal(self.folder, 3e6, owner.incarnation, owner.check)
         self.addCleanup(journal.close)
         entry = Entry(journal.next_number, "m", "orders", 7, 5e12, None, b"")
-        journal.taken(entry)
+        journal.record_accepted(entry)
         with mock.patch("os.fstat", side_effect=OSError(errno.EIO, "broken")):
             with self.assertRaises(FolderInUse):
                 owner.check()
             self.assertFalse(journal.may_act())
             with self.assertRaises(JournalFull):
-                journal.attempt(entry.number, 0, 1.0, 0)
+                journal.record_attempt(entry.number, 0, 1.0, 0)
         self.assertTrue(journal.may_act())
-        journal.attempt(entry.number, 0, 1.0, 0)
+        journal.record_attempt(entry.number, 0, 1.0, 0)
         self.assertEqual(owner.incarnation << 32, entry.number)
 
     def test_left_overs_of_dead_processes(self) -> None:
@@ -170,7 +170,7 @@
                 assert lease
                 journal = Journal(folder, 3e6, lease.incarnation, lease.check)
                 kept = Entry(journal.next_number, "m", "orders", 7, 5e12, None, b"body")
-                journal.taken(kept)
+                journal.record_accepted(kept)
                 journal.close()
                 lease.close()
                 (path,) = folder.glob("journal-*.log")
@@ -194,8 +194,8 @@
                         assert second
                         held.append(second._fd)
                         again = Journal(folder, 3e6, second.incarnation, second.check)
-                        again.closed(again.next_number)
-                        again.taken(Entry(again.next_number, "n", "orders", 7, 5e12, None, b""))
+                        again.record_closed(again.next_number)
+                        again.record_accepted(Entry(again.next_number, "n", "orders", 7, 5e12, None, b""))
                         again.close()
                     except Killed:
                         pass
--- a/tests/recovery/test_formats.py
+++ b/tests/recovery/test_formats.py
@@ -33,9 +33,9 @@
             journal = Journal(Path(name), 3e6, incarnation=1_796_000_000)
             for n in range(3):
                 number = journal.next_number
-                journal.taken(Entry(number, f"m{n}", "orders", 7, 5e12, "k", b"body"))
-                journal.attempt(number, 0, 1.0, 0)
-            journal.closed(number)
+                journal.record_accepted(Entry(number, f"m{n}", "orders", 7, 5e12, "k", b"body"))
+                journal.record_attempt(number, 0, 1.0, 0)
+            journal.record_closed(number)
             journal.close()
             (path,) = Path(name).glob("journal-*.log")
             first = 1_796_000_000 << 32
--- a/tests/recovery/test_recovery_phases.py
+++ b/tests/recovery/test_recovery_phases.py
@@ -33,14 +33,14 @@
         back.listed(1_070.0)
         self.assertEqual(self.passed(back, 1_100.0), [("up", 0.0), ("folder", 40.0), ("list", 70.0)])
         back.answered(1_200.0, 7)
-        back.did(1_200.0, RecoveryCounter.SERVED, 5)
+        back.count(1_200.0, RecoveryCounter.SERVED, 5)
         self.assertEqual(self.passed(back, 1_250.0), [])
         back.answered(1_300.0, 8)
         self.assertEqual(self.passed(back, 1_350.0), [("limits", 300.0)])
-        back.did(1_900.0, RecoveryCounter.REFUSED, 6)
+        back.count(1_900.0, RecoveryCounter.REFUSED, 6)
         self.assertEqual(self.passed(back, 1_950.0), [("backlog", 900.0), ("full", 900.0)])
         self.assertTrue(back.over)
-        back.did(9_000.0, RecoveryCounter.SERVED, 9)
+        back.count(9_000.0, RecoveryCounter.SERVED, 9)
         self.assertEqual(self.passed(back, 9_000.0), [])
 
     def test_a_relay_with_nothing_to_restore_waits_for_the_list_alone(self) -> None:
@@ -53,9 +53,9 @@
     def test_what_is_done_is_counted_by_second(self) -> None:
         back = Recovery(0.0)
         back.folder(10.0, {5: 7, 6: 7}, 0)
-        back.did(100.0, RecoveryCounter.FRESH)
-        back.did(200.0, RecoveryCounter.SERVED, 5)
-        back.did(2_300.0, RecoveryCounter.SERVED, 99)
+        back.count(100.0, RecoveryCounter.FRESH)
+        back.count(200.0, RecoveryCounter.SERVED, 5)
+        back.count(2_300.0, RecoveryCounter.SERVED, 99)
         back.new_phases(3_100.0)
         self.assertEqual(back.seconds, [(0, {"fresh": 1, "restored": 1, "served": 1}), (2, {"served": 1})])
 
@@ -65,13 +65,13 @@
         back.folder(10.0, {5: 7}, 0)
         back.listed(20.0)
         back.answered(90.0, 7)
-        back.did(90.0, RecoveryCounter.SERVED, 5)
-        self.assertTrue(back.over and not back.told)
+        back.count(90.0, RecoveryCounter.SERVED, 5)
+        self.assertTrue(back.over and not back.reported)
         self.assertEqual(
             [name for name, _ in self.passed(back, 250.0)], ["up", "folder", "list", "limits", "backlog", "full"]
         )
         self.assertEqual(back.seconds, [(0, {"restored": 1, "served": 1})])
-        self.assertTrue(back.told)
+        self.assertTrue(back.reported)
 
     def test_a_return_that_never_ends_is_told_as_it_stands(self) -> None:
         back = Recovery(0.0)
--- a/tests/test_earlier_lives.py
+++ b/tests/test_earlier_lives.py
@@ -43,7 +43,7 @@
         self.assertEqual([a.not_after for a in actions if isinstance(a, i.Send)], [sent_at + 6 * SECOND])
         ended = i.Settled(1, 1, 11, i.Outcome.OK, 100, ended=True)
         courier.tell(ended)
-        self.assertEqual((courier.sender._open, courier.sender._slots_taken), ({}, 0))
+        self.assertEqual((courier.engine._open, courier.engine._slots_taken), ({}, 0))
 
 
 if __name__ == "__main__":
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -137,7 +137,7 @@
     def share(self, left: float, limit: float = 80.0) -> LimitShare:
         share = LimitShare(40, ("x0", "x1"))
         for n in range(10):
-            share.told(1_000 * SECOND + n * SECOND, (left, limit), False)
+            share.observe(1_000 * SECOND + n * SECOND, (left, limit), False)
         return share
 
     def test_what_is_left_sets_how_much_of_what_comes_is_sent(self) -> None:
@@ -146,7 +146,7 @@
             share = SharedLimit(40, ("x0", "x1"))
             for n in range(40):  # four messages a second come, twice its equal part
                 share.came(1_000 * SECOND + n * SECOND // 4)
-                share.told(1_000 * SECOND + n * SECOND // 4, (left, 80.0), False)
+                share.observe(1_000 * SECOND + n * SECOND // 4, (left, 80.0), False)
             rates.append(share.rate())
         self.assertEqual(rates, sorted(rates))
         self.assertEqual(rates[0], 1.0)  # the floor: 0.5 of its equal part
@@ -157,12 +157,12 @@
         share = SharedLimit(40, ("x0", "x1"))
         for n in range(20):
             share.came(n * SECOND // 4)
-            share.told(n * SECOND // 4, (1.0, 80.0), False)
-        share.told(5 * SECOND, (0.9, 80.0), True)
+            share.observe(n * SECOND // 4, (1.0, 80.0), False)
+        share.observe(5 * SECOND, (0.9, 80.0), True)
         once = share._times
-        share.told(5 * SECOND + 300 * MS, (0.9, 80.0), True)
+        share.observe(5 * SECOND + 300 * MS, (0.9, 80.0), True)
         self.assertEqual(share._times, once)
-        share.told(7 * SECOND, (0.9, 80.0), True)
+        share.observe(7 * SECOND, (0.9, 80.0), True)
         self.assertLess(share._times, once)
 
     def learned(self, times: float = 1.0) -> SharedLimit:
@@ -170,7 +170,7 @@
         share = SharedLimit(200, ("x0", "x1"))
         for n in range(60):
             share.came(n * SECOND // 2)
-            share.told(n * SECOND // 2, (0.5, 200.0), False)
+            share.observe(n * SECOND // 2, (0.5, 200.0), False)
         share._times = times
         return share
 
@@ -179,28 +179,28 @@
         after that, of 160 that came in each (herd day, destination 4)."""
         share = self.learned(times=1.4)
         before = share.rate()
-        share.told(31 * SECOND, (0.5, 100.0), False)
+        share.observe(31 * SECOND, (0.5, 100.0), False)
         self.assertAlmostEqual(share.rate() / before, 0.5 / 1.4, delta=0.08)  # from what comes, not from above it
         share = self.learned(times=0.5)
-        share.told(31 * SECOND, (0.5, 400.0), False)
+        share.observe(31 * SECOND, (0.5, 400.0), False)
         self.assertAlmostEqual(share._times, 1.0, delta=0.05)
         noisy = self.learned(times=1.4)
-        noisy.told(31 * SECOND, (0.5, 160.0), False)
+        noisy.observe(31 * SECOND, (0.5, 160.0), False)
         self.assertAlmostEqual(noisy.limit, 180.0, delta=1.0)
         self.assertGreater(noisy._times, 1.3)
 
     def test_growth_counts_all_of_the_time_without_an_answer(self) -> None:
         often, seldom = self.learned(times=0.5), self.learned(times=0.5)
         for n in range(12):
-            often.told((60 + n) * SECOND // 2, (1.0, 200.0), False)
+            often.observe((60 + n) * SECOND // 2, (1.0, 200.0), False)
         for n in (1, 2):
-            seldom.told((30 + 3 * n) * SECOND - SECOND // 2, (1.0, 200.0), False)
+            seldom.observe((30 + 3 * n) * SECOND - SECOND // 2, (1.0, 200.0), False)
         self.assertAlmostEqual(often._times, seldom._times, delta=0.1)
 
     def test_the_lists_word_for_a_limit_holds_until_an_answer_tells_it(self) -> None:
         """After a restart no limit was known, and 562 calls were refused at one destination in a second."""
         share = SharedLimit(200, ("x0", "x1"))
-        share.suppose(0, 100.0)
+        share.assume_limit(0, 100.0)
         for _ in range(40):  # what an earlier life left
             share.came(0)
         sent = 0
@@ -210,14 +210,14 @@
                 sent += 1
             share._refill(now)
         self.assertLess(sent, 12)
-        share.told(SECOND, (0.5, 350.0), False)
+        share.observe(SECOND, (0.5, 350.0), False)
         self.assertEqual(share.limit, 350.0)
-        share.suppose(2 * SECOND, 100.0)  # the list comes again
+        share.assume_limit(2 * SECOND, 100.0)  # the list comes again
         self.assertEqual(share.limit, 350.0)
-        share.told(3 * SECOND, (0.0, 0.0), False)  # it has none
+        share.observe(3 * SECOND, (0.0, 0.0), False)  # it has none
         self.assertEqual((share.limit, share.due()), (0.0, 0))
         blind = SharedLimit(200)  # no answer would ever tell
-        blind.suppose(0, 100.0)
+        blind.assume_limit(0, 100.0)
         self.assertEqual(blind.limit, 0.0)
 
     def test_few_that_start_at_once_keep_to_the_lists_word_or_what_an_earlier_life_was_told(self) -> None:
@@ -231,7 +231,7 @@
                         if recalled:
                             share.recall(100.0, 1.0, 0.0)
                         else:
-                            share.suppose(0, 100.0)
+                            share.assume_limit(0, 100.0)
                         for now in range(0, SECOND, 10 * MS):
                             while share.due() <= now:
                                 share.sent(now)
@@ -239,7 +239,7 @@
                             share._refill(now)
                     self.assertLess(sent, 90 + 30 + couriers)  # the limit, a burst of 0.3 s, and a call of each
                     self.assertGreater(sent, 80)
-                    share.told(SECOND, (1.0, 100.0), False)  # the first answer replaces what was supposed
+                    share.observe(SECOND, (1.0, 100.0), False)  # the first answer replaces what was supposed
                     self.assertGreater(share.rate(), 8 * share.part)
 
     def test_what_is_left_sets_how_much_more_than_its_part_a_courier_sends(self) -> None:
@@ -262,17 +262,17 @@
             (),
             (0.5,),
         ):
-            share.told(1_010 * SECOND, report, False)
+            share.observe(1_010 * SECOND, report, False)
         self.assertEqual(share.rate(), before)
         nowhere = LimitShare(40, ("x1",))
-        nowhere.told(0, (9.0,), True)
+        nowhere.observe(0, (9.0,), True)
         nowhere.sent(0)
         self.assertEqual((nowhere.rate(), nowhere.due()), (0.0, 0))
 
     def test_old_news_count_for_less(self) -> None:
         share = self.share(1.0)
         share.came(1_030 * SECOND)
-        share.told(1_030 * SECOND, (0.0, 80.0), True)
+        share.observe(1_030 * SECOND, (0.0, 80.0), True)
         self.assertLess(share.rate(), 2.0)
 
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -30,12 +30,12 @@
     def test_all_that_is_known_of_an_open_message_comes_back(self) -> None:
         journal = self.again()
         for number in (1, 2, 3):
-            journal.taken(entry(number, bytes(range(256))))
-        journal.attempt(1, 0, 123.25, 1)
-        journal.attempt(1, 1, 456.5, 0)
-        journal.outcome(1, 0, may_have_run=False)
-        journal.end(2, End(True, 250.0))
-        journal.closed(3)
+            journal.record_accepted(entry(number, bytes(range(256))))
+        journal.record_attempt(1, 0, 123.25, 1)
+        journal.record_attempt(1, 1, 456.5, 0)
+        journal.record_outcome(1, 0, may_have_run=False)
+        journal.record_end(2, End(True, 250.0))
+        journal.record_closed(3)
         known = self.again()
         first = entry(1, bytes(range(256)))
         first.attempts = [Attempt(123.25, 1, False, settled=True), Attempt(456.5, 0, True)]
@@ -50,7 +50,7 @@
         for cut_works in (True, False):
             with self.subTest(cut_works=cut_works):
                 journal = self.again()
-                journal.taken(entry(journal.next_number))
+                journal.record_accepted(entry(journal.next_number))
                 before, (fd, first) = journal.next_number, (journal._fd, journal._segments[-1].path)
 
                 tried: list[int] = []
@@ -66,9 +66,9 @@
                 cut = os.ftruncate if cut_works else mock.Mock(side_effect=OSError(errno.EIO, "gone"))
                 with mock.patch.object(os, "write", half), mock.patch.object(os, "ftruncate", cut):
                     with self.assertRaises(JournalFull):
-                        journal.taken(entry(before))
-                    journal.taken(entry(before + 1))  # the next segment takes it
-                journal.attempt(before + 1, 0, 12.0, 0)
+                        journal.record_accepted(entry(before))
+                    journal.record_accepted(entry(before + 1))  # the next segment takes it
+                journal.record_attempt(before + 1, 0, 12.0, 0)
                 self.assertNotEqual(journal._segments[-1].path, first)
                 known = self.again()
                 self.assertIn(before + 1, known.entries)
@@ -77,10 +77,10 @@
 
     def test_a_torn_tail_is_left_out_wherever_it_tears(self) -> None:
         journal = self.again()
-        journal.taken(entry(1))
+        journal.record_accepted(entry(1))
         (path,) = self.folder.iterdir()
         whole = path.stat().st_size
-        journal.taken(entry(2))
+        journal.record_accepted(entry(2))
         data = path.read_bytes()
         for end in range(whole, len(data) + 1):
             with self.subTest(end=end):
@@ -96,16 +96,16 @@
     def test_segments_go_once_nothing_in_them_is_open(self) -> None:
         journal = self.again()
         for number in range(1, 2_000):
-            journal.taken(entry(number, bytes(1_000)))
-            journal.attempt(number, 0, 1.0, 0)
+            journal.record_accepted(entry(number, bytes(1_000)))
+            journal.record_attempt(number, 0, 1.0, 0)
             if number > 20:
-                journal.closed(number - 20)
+                journal.record_closed(number - 20)
         self.assertLess(journal.used(), 500_000)
         self.assertLess(sum(path.stat().st_size for path in self.folder.iterdir()), 500_000)
         known = self.again()
         self.assertEqual(set(known.entries), set(range(1_980, 2_000)))
         for number in list(known.entries):
-            known.closed(number)
+            known.record_closed(number)
         self.assertEqual(self.again().entries, {})
 
     def test_room_for_ends_is_kept(self) -> None:
@@ -114,18 +114,18 @@
         taken = 0
         while journal.has_room(65_536):
             taken += 1
-            journal.taken(entry(taken, bytes(65_536)))
+            journal.record_accepted(entry(taken, bytes(65_536)))
         for number in range(1, taken + 1):
             for attempt in range(8):
-                journal.attempt(number, attempt, 1.0, 0)
-                journal.outcome(number, attempt, may_have_run=True)
-            journal.end(number, End(True, 1.0))
+                journal.record_attempt(number, attempt, 1.0, 0)
+                journal.record_outcome(number, attempt, may_have_run=True)
+            journal.record_end(number, End(True, 1.0))
         self.assertGreater(taken, 5)
         self.assertLess(journal.used(), 800_000)
 
     def test_half_a_record_is_taken_back(self) -> None:
         journal = self.again()
-        journal.taken(entry(1))
+        journal.record_accepted(entry(1))
         real, calls = os.write, iter((9, 0))
 
         def half(fd: int, data: bytes) -> int:
@@ -135,17 +135,17 @@
             raise OSError(errno.ENOSPC, "No space left on device")
 
         with mock.patch("os.write", half), self.assertRaises(JournalFull):
-            journal.taken(entry(2))
+            journal.record_accepted(entry(2))
         with mock.patch("os.write", side_effect=OSError("full")), self.assertRaises(JournalFull):
-            journal.taken(entry(2))
-        journal.taken(entry(3))
+            journal.record_accepted(entry(2))
+        journal.record_accepted(entry(3))
         self.assertEqual(set(self.again().entries), {1, 3})
 
     def test_an_attempt_that_could_not_be_written_was_not_made(self) -> None:
         journal = self.again()
-        journal.taken(entry(1))
-        journal.attempt(1, 1, 5.0, 0)
-        journal.outcome(1, 4, may_have_run=False)  # of an attempt that is not there either
+        journal.record_accepted(entry(1))
+        journal.record_attempt(1, 1, 5.0, 0)
+        journal.record_outcome(1, 4, may_have_run=False)  # of an attempt that is not there either
         made = [Attempt(5.0, 0, False, settled=True), Attempt(5.0, 0, True)]
         self.assertEqual(self.again().entries[1].attempts, made)
 
--- a/tests/test_long_queues.py
+++ b/tests/test_long_queues.py
@@ -55,14 +55,14 @@
                 courier.wait(500 * MS, i.Rang(0))
             else:
                 courier.wait(MS, courier.outcome(message, i.Outcome.RESET))
-                self.assertLessEqual(len(courier.sender._least), 2 * 60)
+                self.assertLessEqual(len(courier.engine._least), 2 * 60)
 
     def test_a_destination_waits_for_one_wake(self) -> None:
         courier = self.crowded()
         for _ in range(50):
             courier.wait(MS, i.Rang(0))
             courier.arrive(SAFE)
-        self.assertLessEqual(len(courier.sender._wakes), 6)
+        self.assertLessEqual(len(courier.engine._wakes), 6)
 
 
 if __name__ == "__main__":
--- a/tests/test_many_couriers.py
+++ b/tests/test_many_couriers.py
@@ -76,13 +76,13 @@
 def test_an_accepted_call_shortens_the_rest_again() -> None:
     courier = among_many()
     attempts_at(courier, i.Outcome.FULL, 12 * SECOND)
-    before = courier.sender._dests[1].crowd
+    before = courier.engine._dests[1].crowd
     assert before >= 2
     courier.wait(200 * SECOND)
     for _ in range(before):
         courier.serve(1)
         courier.wait(15 * SECOND)  # past a ramp
-    assert courier.sender._dests[1].crowd == 0
+    assert courier.engine._dests[1].crowd == 0
 
 
 def back_at(seed: int, wait: int) -> int:
@@ -110,7 +110,7 @@
     courier.serve(20, took=400 * MS)
     end = courier.now + 4 * SECOND
     while courier.now < end:
-        courier.wait(20 * MS, *([courier.arrival()] if len(courier.sender._open) < 6 else []))
+        courier.wait(20 * MS, *([courier.arrival()] if len(courier.engine._open) < 6 else []))
         left = end + wait - courier.now
         courier.tell(
             *(
@@ -164,7 +164,7 @@
     courier.arrive(UNSAFE)
     courier.now += 500 * MS
     for _ in range(200):
-        courier.wait(20 * MS, *([courier.arrival(UNSAFE)] if len(courier.sender._open) < 20 else []))
+        courier.wait(20 * MS, *([courier.arrival(UNSAFE)] if len(courier.engine._open) < 20 else []))
     assert list(courier.out.values()).count(11) == 2
 
 
@@ -195,7 +195,7 @@
         failed = answers(courier.settle(arrival.message, outcome))
         assert failed == ([i.Fail(arrival.message)] if outcome is i.Outcome.RESET else [])
         ended[arrival.message] = courier.attempts[arrival.message]
-        assert not courier.sender._endpoints[11].route.sick
+        assert not courier.engine._endpoints[11].route.sick
     assert set(ended.values()) == {1}
 
 
@@ -245,17 +245,17 @@
         courier.list(i.Listed(name, name, i.Phase.GONE), kind=i.ListKind.DELTA)
     courier.wait(10 * SECOND)
     courier.arrive(ORDERED, dest=1, key=1)
-    sender = courier.sender
-    assert len(sender._open) == len(sender._lanes) == 1
-    assert not sender._endpoints
-    assert len(sender._dests) <= 2
-    assert len(sender._key_rest) < 100
-    assert len(sender._least) <= 200
+    engine = courier.engine
+    assert len(engine._open) == len(engine._lanes) == 1
+    assert not engine._endpoints
+    assert len(engine._dests) <= 2
+    assert len(engine._key_rest) < 100
+    assert len(engine._least) <= 200
 
 
 def test_accepted_calls_are_counted_for_a_short_while_only(courier: Courier) -> None:
     courier.serve(300)
-    assert len(courier.sender._endpoints[11].route.accepted) <= 21  # ten a second
+    assert len(courier.engine._endpoints[11].route.accepted) <= 21  # ten a second
 
 
 def served_share(couriers: int, reports: tuple[i.Report, ...] = ()) -> float:
@@ -291,7 +291,7 @@
 
 
 def test_a_few_couriers_rest_as_ever_where_no_answer_tells_the_limit() -> None:
-    settings = i.Settings(classes=among_many().sender._set.classes, slots=1, open_cap=9, max_attempts=3, couriers=4)
+    settings = i.Settings(classes=among_many().engine._set.classes, slots=1, open_cap=9, max_attempts=3, couriers=4)
     assert settings.first_rest(500 * MS) == 500 * MS
     assert second_try_after(among_many(reports=(), couriers=4), 1) < 1_500 * MS
     assert second_try_after(among_many(reports=()), 1) > 6_000 * MS
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -39,7 +39,7 @@
 
 
 def fill(courier: Courier) -> None:
-    for _ in range(courier.sender._set.slots):
+    for _ in range(courier.engine._set.slots):
         courier.arrive(dest=2)
 
 
@@ -50,7 +50,7 @@
 
 def test_freed_slot_goes_to_the_highest_penalty(courier: Courier) -> None:
     for in_aim in (True,) * 17 + (False,) * 3:
-        courier.sender._recent[UNSAFE].append(in_aim)  # c = .85
+        courier.engine._recent[UNSAFE].append(in_aim)  # c = .85
     fill(courier)
     courier.arrive(SAFE)
     courier.arrive(UNSAFE)
--- a/tests/test_partial_outages.py
+++ b/tests/test_partial_outages.py
@@ -34,13 +34,13 @@
         courier.wait(100 * MS, courier.outcome(courier.next_id - 1))
         for message in sorted(hung):
             courier.settle(message, i.Outcome.TIMEOUT)
-        route = courier.sender._dests[1].routes[-1]
+        route = courier.engine._dests[1].routes[-1]
         self.assertEqual((route.sick, route.bad_run, route.fail_share < 0.6), (False, 0, True))
 
     def test_of_two_that_failed_the_one_that_fails_less_is_called(self) -> None:
         courier = pair()
         courier.serve(8)
-        ends = courier.sender._dests[1].ends
+        ends = courier.engine._dests[1].ends
         ends[11].mean, ends[12].mean = 50.0 * MS, 400.0 * MS  # the first is the faster one by far
         for name, fails in ((11, 3), (12, 1)):
             ends[name].fails, ends[name].failed_at = fails, courier.now
@@ -57,7 +57,7 @@
                         SECOND, replace(courier.outcome(courier.next_id - 1), report=(1.0, limit), took=50 * MS)
                     )
                     self.assertEqual(sends(told), [])
-                route = courier.sender._dests[1].routes[-1]
+                route = courier.engine._dests[1].routes[-1]
                 route.sick, route.cold_at, route.cold_due = False, courier.now, courier.now  # just back
                 sent = 0
                 for _ in range(200):  # more than it takes
--- a/tests/test_relay_rules.py
+++ b/tests/test_relay_rules.py
@@ -280,7 +280,7 @@
     @in_world
     async def test_a_call_whose_connection_comes_up_too_late_is_not_sent(self, world: World) -> None:
         async with world.relay() as relay:
-            number = relay.take(Submission("open", 0, 7, 20_000, "k", b"x"))
+            number = relay.submit(Submission("open", 0, 7, 20_000, "k", b"x"))
             assert isinstance(number, int)
             send, now = i.Send(number, 1), to_micros(world.clock.now())
             there = relay._directory.get(1)
@@ -403,11 +403,11 @@
     async def test_what_was_taken_on_is_delivered_within_its_key_s_window_only(self, world: World) -> None:
         journal, now = Journal(world.folder, 3e6), world.clock.now()
         for number, age in ((1, 1_000), (2, 7_000), (3, 7_000), (4, 0)):
-            journal.taken(self.entry(world, number, age))
-        journal.attempt(1, 0, now - 1_000, 1)  # was out when the process ended
-        journal.attempt(2, 0, now - 7_000, 1)  # too, and its key may be forgotten by now
-        journal.attempt(3, 0, now - 7_000, 1)
-        journal.outcome(3, 0, may_have_run=False)
+            journal.record_accepted(self.entry(world, number, age))
+        journal.record_attempt(1, 0, now - 1_000, 1)  # was out when the process ended
+        journal.record_attempt(2, 0, now - 7_000, 1)  # too, and its key may be forgotten by now
+        journal.record_attempt(3, 0, now - 7_000, 1)
+        journal.record_outcome(3, 0, may_have_run=False)
         journal.close()
         async with world.relay() as relay:
             await until(lambda: relay.idle)
@@ -420,7 +420,7 @@
         ready = member(str(world.endpoint.address))
         world.change(ready | {"phase": "Terminating"})
         journal = Journal(world.folder, 3e6)
-        journal.taken(self.entry(world, 1))
+        journal.record_accepted(self.entry(world, 1))
         journal.close()
         known = {"revision": 0, "complete": True, "members": [ready]}
         with mock.patch("calicohitch.net.relay._LIST_S", LIMIT):
@@ -432,10 +432,10 @@
     @in_world
     async def test_attempts_count_over_all_lives(self, world: World) -> None:
         journal, now = Journal(world.folder, 3e6), world.clock.now()
-        journal.taken(self.entry(world, 1))
+        journal.record_accepted(self.entry(world, 1))
         for attempt in range(8):
-            journal.attempt(1, attempt, now, 0)
-            journal.outcome(1, attempt, may_have_run=False)
+            journal.record_attempt(1, attempt, now, 0)
+            journal.record_outcome(1, attempt, may_have_run=False)
         journal.close()
         async with world.relay():
             await until(lambda: world.notices)
@@ -444,8 +444,8 @@
     @in_world
     async def test_an_unacknowledged_notice_is_sent_again(self, world: World) -> None:
         journal = Journal(world.folder, 3e6)
-        journal.taken(self.entry(world, 1))
-        journal.end(1, End(True, 750.0))
+        journal.record_accepted(self.entry(world, 1))
+        journal.record_end(1, End(True, 750.0))
         journal.close()
         async with world.relay():
             await until(lambda: world.notices)
@@ -550,14 +550,14 @@
     async def test_only_the_taker_accepts_or_withdraws(self, world: World) -> None:
         async with world.relay() as relay:
             first = Submission("a1", 0, 7, 5_000, "k", b"first")
-            number = relay.take(first)
+            number = relay.submit(first)
             self.assertIsInstance(number, int)
             other = Submission("a1", 1, 9, 100, None, b"other")
-            self.assertIs(relay.take(other), Refusal.BEING_TAKEN)
+            self.assertIs(relay.submit(other), Refusal.BEING_TAKEN)
             self.assertEqual((await world.hand_in("a1")).status, 503)  # and its end withdraws nothing
             assert isinstance(number, int)
             relay.accept(number, first)
-            self.assertIs(relay.take(other), Refusal.TAKEN)
+            self.assertIs(relay.submit(other), Refusal.TAKEN)
             await until(lambda: world.endpoint.requests)
         self.assertEqual(world.endpoint.requests[0].body, b"first")
 
--- a/tests/test_six_rules.py
+++ b/tests/test_six_rules.py
@@ -56,7 +56,7 @@
             elif isinstance(action, i.Refuse | i.Fail):
                 self.check_answer(action)
         calls = {(endpoint, self.sent_at[at]) for at, endpoint in self.out.items()}
-        assert len(calls) <= self.sender._set.slots
+        assert len(calls) <= self.engine._set.slots
         return actions
 
     def check_send(self, action: i.Send) -> None:
@@ -201,7 +201,7 @@
     served = 0
     start = courier.now
     while courier.now < start + 4 * SECOND:
-        courier.wait(20 * MS, courier.arrival()) if len(courier.sender._open) < 30 else courier.wait(20 * MS)
+        courier.wait(20 * MS, courier.arrival()) if len(courier.engine._open) < 30 else courier.wait(20 * MS)
         for message, _ in list(courier.out):
             served += 1
             courier.settle(message)
@@ -224,7 +224,7 @@
         given_up += answers(courier.arrive(UNSAFE))
     for _ in range(15):
         given_up += answers(courier.arrive(SAFE))
-    assert len(courier.sender._open) <= 18
+    assert len(courier.engine._open) <= 18
     assert given_up
     assert all(isinstance(a, i.Refuse) and a.retry_after == 2 * SECOND and a.message > 10 for a in given_up)
 
@@ -277,7 +277,7 @@
     served = [0, 0]
     for half in range(2):
         for _ in range(100):
-            courier.wait(40 * MS, *([courier.arrival()] if len(courier.sender._open) < 20 else []))
+            courier.wait(40 * MS, *([courier.arrival()] if len(courier.engine._open) < 20 else []))
             for message, _ in list(courier.out):
                 served[half] += 1
                 courier.settle(message)
@@ -303,7 +303,7 @@
 def test_a_mean_of_whole_microseconds_does_not_skip_the_late_drop(courier: Courier) -> None:
     courier.serve(5, took=100 * MS)
     courier.tell(i.ListTold(i.ListKind.DELTA, 2, (i.Listed(11, 1, i.Phase.READY),)))
-    route = courier.sender._endpoints[11].route
+    route = courier.engine._endpoints[11].route
     route.mean, route.rest_until = 100_000.0, courier.now + 60 * SECOND
     actions = courier.arrive(SAFE, left=300 * MS)
     end = courier.now + 300 * MS
@@ -329,12 +329,12 @@
     refused = courier.next_id - 1
     courier.wait(20 * MS, courier.outcome(refused, i.Outcome.FULL))
     for _ in range(100):  # ten seconds of demand, each call taken
-        courier.wait(100 * MS, *([courier.arrival()] if len(courier.sender._open) < 20 else []))
+        courier.wait(100 * MS, *([courier.arrival()] if len(courier.engine._open) < 20 else []))
         for message, _ in list(courier.out):
             courier.settle(message)
         if courier.now > 1_000 * SECOND + 4 * SECOND:
             break
-    assert courier.sender._endpoints[11].route.pace < 1.0  # of 3 a second for twelve couriers
+    assert courier.engine._endpoints[11].route.pace < 1.0  # of 3 a second for twelve couriers
 
 
 def test_broken_kept_connections_do_not_shut_a_sound_destination_out(courier: Courier) -> None:
--- a/tests/test_why_held.py
+++ b/tests/test_why_held.py
@@ -19,7 +19,7 @@
 
 class WhyHeld(unittest.TestCase):
     def why(self, courier: Courier, message: int | None = None) -> tuple[Hold, int] | None:
-        held = courier.sender.why_held(courier.next_id - 1 if message is None else message)
+        held = courier.engine.why_held(courier.next_id - 1 if message is None else message)
         return (held.why, held.until and held.until - courier.now) if held else None
 
     def test_what_is_not_held_has_no_reason(self) -> None:
@@ -124,7 +124,7 @@
                 told.append(courier.arrive((SAFE, KEYED)[n % 2], dest=1 + n % 2, key=n))
                 if asks:
                     for message in range(courier.next_id):
-                        courier.sender.why_held(message)
+                        courier.engine.why_held(message)
                 if len(courier.out) > 1:
                     message = next(iter(courier.out))[0]
                     outcome = (Outcome.OK, Outcome.FULL, Outcome.ERROR, Outcome.OK)[n % 4]
--- a/tests/tracing/test_hops.py
+++ b/tests/tracing/test_hops.py
@@ -164,9 +164,9 @@
             record = Entry(1, "a1", "scores", 7, now + 4_000, "k1", b"x")
             async with world.relay(to(collector), state="/nowhere") as relay:
                 assert relay._tracer
-                record.trace = relay._tracer.taking(record, (), ahead, False)
-            journal.taken(record)
-            journal.attempt(1, 0, ahead + 10, 0)
+                record.trace = relay._tracer.submission_received(record, (), ahead, False)
+            journal.record_accepted(record)
+            journal.record_attempt(1, 0, ahead + 10, 0)
             journal.close()
             async with world.relay(to(collector)) as relay:
                 await until(lambda: world.endpoint.requests and relay.idle)
@@ -201,12 +201,12 @@
             ) as relay:
                 for n in range(2_000):
                     told = Submission(f"f{n}", 1, 7, 4_000.0, None, b"x")
-                    number = relay.take(told)
+                    number = relay.submit(told)
                     assert isinstance(number, int)
                     relay.accept(number, told)
                     if n in (10, 900, 1_900):
                         late = Submission(f"l{(10, 900, 1_900).index(n)}", 1, 8, 4_900.0, None, b"x")
-                        number = relay.take(late)
+                        number = relay.submit(late)
                         assert isinstance(number, int)
                         relay.accept(number, late)
                     if n % 50 == 0:
--- a/tests/tracing/test_tracer.py
+++ b/tests/tracing/test_tracer.py
@@ -30,11 +30,11 @@
 
     def taking(self, number: int) -> None:
         entry = Entry(number, f"m{number}", "scores", 7, self.clock.now() + 5e3, None, b"")
-        self.tracer.taking(entry, (), self.clock.now(), False)
+        self.tracer.submission_received(entry, (), self.clock.now(), False)
 
     def test_a_message_that_a_full_journal_refuses_leaves_no_count_behind(self) -> None:
         self.taking(1)
-        self.tracer.taken(1)
+        self.tracer.submission_recorded(1)
         self.taking(2)
         self.tracer.withdrawn(2)  # the journal was full: `taken` never came
         self.assertEqual(self.live(), 1)
@@ -44,7 +44,7 @@
     def test_no_spans_are_made_that_no_queue_has_room_for(self) -> None:
         for number in range(20):
             self.taking(number)
-            self.tracer.taken(number)
+            self.tracer.submission_recorded(number)
             self.tracer.sending(number, 0, None, 0, self.clock.now())
             self.tracer.settled(number, 0, Outcome.OK, 0.0, ended=True)
             self.tracer.closed(number)
