--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from parties import ROOT, RelayProcess, spread
+from harness import ROOT, RelayProcess, spread
 from versions import checkout
 
 COUNT, LINKS = 6_000, 64
--- a/benchmarks/grpc_calls.py
+++ b/benchmarks/grpc_calls.py
@@ -20,7 +20,7 @@
 
 import grpc
 import grpc.aio
-from parties import Platform, RelayProcess, cpu_of, free_port, spread
+from harness import Platform, RelayProcess, cpu_of, free_port, spread
 from tracing import load
 
 # An endpoint on grpcio's asyncio server: echoes; "flood:N" streams N messages of 64 KiB. Its port is printed.
--- a/benchmarks/returns.py
+++ b/benchmarks/returns.py
@@ -17,7 +17,7 @@
 import time
 from pathlib import Path
 
-from parties import ROOT, Platform, RelayProcess
+from harness import ROOT, Platform, RelayProcess
 from versions import checkout
 
 sys.path.insert(0, str(ROOT / "tests"))
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -16,7 +16,7 @@
 import time
 from typing import Any
 
-from parties import ROOT, cpu_of
+from harness import ROOT, cpu_of
 
 sys.path.insert(0, str(ROOT / "tests"))
 
--- a/benchmarks/tracing.py
+++ b/benchmarks/tracing.py
@@ -19,7 +19,7 @@
 import time
 from pathlib import Path
 
-from parties import Platform, RelayProcess, spread
+from harness import Platform, RelayProcess, spread
 
 ON = 'tracing {{\n{sample}\ncollector "http://127.0.0.1:{port}/v1/traces"\n}}\n'
 
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -20,7 +20,7 @@
 import time
 from pathlib import Path
 
-from parties import ROOT, Platform, RelayProcess, cpu_of, spread
+from harness import ROOT, Platform, RelayProcess, cpu_of, spread
 from tracing import load
 
 
--- a/calicohitch/core/call_history.py
+++ b/calicohitch/core/call_history.py
@@ -28,7 +28,7 @@
     def forget(self, wire_id: str) -> None:
         self._known.pop(wire_id, None)
 
-    def keep(self, entry: Entry, window_ms: float, now: float) -> list[int]:
+    def remember(self, entry: Entry, window_ms: float, now: float) -> list[int]:
         """Remember a call that is over; the numbers of what is over for good, to be closed in the journal."""
         ran = [attempt.sent_at for attempt in entry.attempts if attempt.may_have_run]
         if not ran:
--- a/calicohitch/core/protocols.py
+++ b/calicohitch/core/protocols.py
@@ -141,15 +141,15 @@
     def record(self, number: int, payload: bytes, over: bool) -> None:
         """A record of the journal was written; the last of its message where `over`."""
 
-    def waited(self, route: int, until: float) -> None:
+    def record_wait(self, route: int, until: float) -> None:
         """A destination, or an endpoint's route below zero, told to wait until then."""
 
     def is_copied(self, number: int) -> bool: ...
 
-    def may_be_taken_on(self, number: int) -> bool:
+    def may_be_accepted(self, number: int) -> bool:
         """Whether its client may be told that it is taken on."""
 
-    async def until_taken_on(self, number: int, within_s: float) -> bool: ...
+    async def until_accepted(self, number: int, within_s: float) -> bool: ...
 
     async def until_safe(self, number: int, within_s: float) -> bool:
         """Until all that was recorded of it is copied as its class asks; False where that takes longer."""
--- a/calicohitch/decision_state.py
+++ b/calicohitch/decision_state.py
@@ -126,7 +126,7 @@
         self.failed_at = 0
         self.bad_run = 0  # failed or refused calls in a row, the first at `bad_since`
         self.bad_since = 0
-        self.sick = False
+        self.failing = False
         self.cold_at = -1  # when it came back from being sick
         self.cold_due = 0  # when the ramp allows the next call
 
@@ -159,7 +159,7 @@
         """What an earlier life knew; the first answer replaces it."""
         if not was.wait_only:
             self.share.recall(*was.share)
-            self.sick, self.cold_at = was.sick, was.cold_at
+            self.failing, self.cold_at = was.failing, was.cold_at
         self.rest(was.wait_until, Hold.TOLD_WAIT)
 
     def due(self) -> int:
@@ -239,7 +239,7 @@
             name,
             None if at == SHARED else at,
             route.share.state(),
-            route.sick,
+            route.failing,
             route.cold_at,
             route.rest_until if route.rest_why is Hold.TOLD_WAIT else 0,
         )
--- a/calicohitch/decisions.py
+++ b/calicohitch/decisions.py
@@ -226,8 +226,8 @@
             dest.crowd, dest.fails = max(0, dest.crowd - 1), 0
             route.was_accepted(now)
             route.fail_share, route.bad_run = route.fail_share * (1 - FAIL_GAIN), 0
-            if route.sick:
-                route.sick, route.cold_at, route.cold_due = False, now, now
+            if route.failing:
+                route.failing, route.cold_at, route.cold_due = False, now, now
             return
         if event.outcome is not Outcome.FULL:
             endpoint.failed_at, endpoint.fails = now, endpoint.fails + 1
@@ -241,9 +241,9 @@
         else:
             self._failed(call, event.outcome)
         shut = now - route.bad_since > SHUT
-        if route.sick or route.bad_run >= 3 and (route.fail_share > FAILING or shut) or event.wait > SHUT:
+        if route.failing or route.bad_run >= 3 and (route.fail_share > FAILING or shut) or event.wait > SHUT:
             # Guards against an outage: only spaced trials go to a sick route, and its return is ramped up.
-            route.sick, pause = True, min(TRIAL << max(0, min(route.bad_run - 3, 7)), TRIAL_MAX)
+            route.failing, pause = True, min(TRIAL << max(0, min(route.bad_run - 3, 7)), TRIAL_MAX)
             pause = event.wait + max(pause, self._spread(dest)) if event.wait else pause
             route.rest(now + pause, Hold.TOLD_WAIT if event.wait else Hold.TRIAL)
         for message in dest.held.values():
@@ -553,7 +553,7 @@
         now = self._now
         if route.rest_until > now:
             return route.rest_why
-        if route.sick and route.calls:
+        if route.failing and route.calls:
             return Hold.TRIAL
         if route.share.due() > now:  # others need what is left of the limit
             return Hold.PACE
--- a/calicohitch/failover/links.py
+++ b/calicohitch/failover/links.py
@@ -15,8 +15,8 @@
 from ..fleet.settings import FleetSettings
 from . import frames
 from .claims import Claims
-from .copying import Replication, Link
-from .holdings import ReplicaSet, ReplicaStore, NoRoom
+from .replication import Replication, Link
+from .replica_store import ReplicaSet, ReplicaStore, NoRoom
 from .wire import Outbox, incoming
 
 _AGAIN_S = 0.15
@@ -39,7 +39,7 @@
     def __init__(
         self,
         me: str,
-        copying: Replication,
+        replication: Replication,
         roster: Roster,
         settings: FleetSettings,
         now: Callable[[], float],
@@ -47,7 +47,7 @@
         changes: ChangeNotifier,
     ) -> None:
         """`heard`: told for each acknowledgement who gave it, and when what it had heard was sent."""
-        self._me, self._copying, self._roster, self._set, self._now = me, copying, roster, settings, now
+        self._me, self._replication, self._roster, self._set, self._now = me, replication, roster, settings, now
         self._heard, self._changes = heard, changes
         self.epoch = 0
         self.wanted: set[str] = set()
@@ -59,7 +59,7 @@
 
     def late(self, relay: str) -> bool:
         """It has no link, or has left something unacknowledged, for longer than is waited for."""
-        now, link = self._now(), self._copying.links.get(relay)
+        now, link = self._now(), self._replication.links.get(relay)
         if link is None:  # one that was never tried is not late
             down = now - self._down_since.get(relay, now) > self._set.copy_timeout_ms
             return down or now < self._avoided.get(relay, 0.0)
@@ -103,7 +103,7 @@
             outbox = Outbox(self._set.queue_bytes)
             outbox.put(
                 frames.Hello(
-                    frames.VERSION, self._set.name, self._me, self.epoch, self._copying.parts, relay, self._now()
+                    frames.VERSION, self._set.name, self._me, self.epoch, self._replication.parts, relay, self._now()
                 )
             )
             async with anyio.create_task_group() as tasks:
@@ -131,7 +131,7 @@
             if not isinstance(welcome, frames.Welcome) or welcome.relay != relay:
                 raise frames.BadFrame(f"it was answered by {welcome!r}")
             link = Link(relay, welcome.holding, outbox.put, self._now())
-            self._copying.came_up(link)
+            self._replication.came_up(link)
             self._told.discard(relay)
             self._avoided.pop(relay, None)
             self._down_since.pop(relay, None)
@@ -142,7 +142,7 @@
                 self._take(link, told)
         finally:
             if link:
-                self._copying.went_down(relay, link)
+                self._replication.went_down(relay, link)
             self._down_since.setdefault(relay, self._now())
             self._changes.notify()
 
@@ -154,7 +154,7 @@
         for frame in told:
             if isinstance(frame, frames.Ack):
                 self._answered[link.relay] = frame.at
-                self._copying.acked(link, frame.seq, self._now())
+                self._replication.acked(link, frame.seq, self._now())
                 self._heard(link.relay, frame.heard)
             elif isinstance(frame, frames.Denied):
                 raise frames.BadFrame(f"{link.relay} denies it: {frame.why}")
@@ -162,7 +162,7 @@
                 logger.bind(event="takeover.full", relay=link.relay, part=frame.part).warning(
                     "{} has no room for part {}: {}", link.relay, frame.part, frame.why
                 )
-                self._copying.full(link, frame.part)
+                self._replication.full(link, frame.part)
             else:
                 raise frames.BadFrame(f"a holder does not send {type(frame).__name__}")
         self._changes.notify()
@@ -174,14 +174,14 @@
     def __init__(
         self,
         me: str,
-        holdings: ReplicaStore,
+        replicas: ReplicaStore,
         claims: Claims,
         roster: Roster,
         settings: FleetSettings,
         now: Callable[[], float],
         epoch: Callable[[], int],
     ) -> None:
-        self._me, self._holdings, self._claims, self._roster = me, holdings, claims, roster
+        self._me, self._replicas, self._claims, self._roster = me, replicas, claims, roster
         self._set, self._now, self._epoch = settings, now, epoch
         self._links: dict[str, anyio.CancelScope] = {}
         self.denied = 0
@@ -230,7 +230,7 @@
             return
         assert isinstance(hello, frames.Hello)
         try:
-            held = self._holdings.open(hello.relay, hello.epoch, hello.parts)
+            held = self._replicas.open(hello.relay, hello.epoch, hello.parts)
         except NoRoom as err:
             await stream.send(frames.encode(frames.Denied(str(err))))
             return
@@ -271,7 +271,7 @@
                 match frame:
                     case frames.Record(payload=payload):
                         if part not in refused:
-                            self._holdings.record(held, part, payload)
+                            self._replicas.record(held, part, payload)
                     case frames.Begin():
                         refused.pop(part, None)
                         held.begin(part)
--- a/calicohitch/failover/manager.py
+++ b/calicohitch/failover/manager.py
@@ -1,7 +1,7 @@
 """The takeover as the relay knows it: its messages are copied, its acts wait for proof, and others' work comes to it.
 
 `Relay` calls what `core/protocols.py` names `Replicator`; this calls back `adopt`, `confirm` and `drop`. What is
-decided lies in `copying.py`, `claims.py`, `choice.py` and `fleet/`; here it is put together and run.
+decided lies in `replication.py`, `claims.py`, `choice.py` and `fleet/`; here it is put together and run.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 from ..recovery.problems import FolderProblem, NameTaken, WorkTaken
 from .choice import chosen
 from .claims import Claims, is_over
-from .copying import Replication
-from .holdings import ReplicaSet, ReplicaStore
+from .replication import Replication
+from .replica_store import ReplicaSet, ReplicaStore
 from .links import InboundReplication, OutboundReplication
 
 _LOOK_S = 0.05
@@ -58,16 +58,18 @@
         keys = Keys(settings.name)
         member = Member(0, incarnation, str(settings.advertise or settings.listen), settings.zone)
         term = LeaseTerm(settings.ttl_ms, settings.pause_ms)
-        self.proof = LeaseValidity(term)
-        self.tenure = Ownership(keys, name, settings.parts, member)
-        self.fleet = Membership(store, self.tenure, self.proof, folder, settings, now)
-        self.copying = Replication(settings.parts, settings.copies)
-        self.holdings = ReplicaStore(folder / "copies", settings.hold_bytes, now)
+        self.validity = LeaseValidity(term)
+        self.ownership = Ownership(keys, name, settings.parts, member)
+        self.fleet = Membership(store, self.ownership, self.validity, folder, settings, now)
+        self.replication = Replication(settings.parts, settings.copies)
+        self.replicas = ReplicaStore(folder / "copies", settings.hold_bytes, now)
         self.claims = Claims(name, term, settings.grace_ms, now())
         self.changes = ChangeNotifier()
-        self._out = OutboundReplication(name, self.copying, self.fleet.roster, settings, now, self._heard, self.changes)
+        self._out = OutboundReplication(
+            name, self.replication, self.fleet.roster, settings, now, self._heard, self.changes
+        )
         self._in = InboundReplication(
-            name, self.holdings, self.claims, self.fleet.roster, settings, now, lambda: self.tenure.epoch
+            name, self.replicas, self.claims, self.fleet.roster, settings, now, lambda: self.ownership.epoch
         )
         self._relay: Adopter | None = None
         self._waiting: list[tuple[int, Callable[[], None]]] = []  # what is to be done once a message is safe
@@ -79,7 +81,7 @@
         self.taken_over = 0
         self.refused = 0
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Nothing copied is taken on any more, nor claimed."""
         self._leaving = True
 
@@ -110,10 +112,10 @@
         if mode.when == "none":
             return None
         part = part_of(wire_id, self._set.parts)
-        if self.tenure.epoch and self.copying.enough(part) and self._proved(part):
+        if self.ownership.epoch and self.replication.enough(part) and self._proved(part):
             return None
-        if mode.without == "alone" and (not self.copying.required(part) or self._proved(part)):
-            self.copying.alone += 1
+        if mode.without == "alone" and (not self.replication.required(part) or self._proved(part)):
+            self.replication.alone += 1
             return None
         self.refused += 1
         return Refusal.UNCOPIED
@@ -124,34 +126,36 @@
         if mode.when != "none" and not entry.call:
             part = part_of(entry.id, self._set.parts)
             first = mode.when == "first"
-            self.copying.open(entry.number, part, first, lambda: payloads(entry), first and mode.without == "refuse")
+            self.replication.open(
+                entry.number, part, first, lambda: payloads(entry), first and mode.without == "refuse"
+            )
 
     def abandoned(self, number: int) -> None:
         """It could not be journaled."""
-        self.copying.abandon(number)
+        self.replication.abandon(number)
 
     def record(self, number: int, payload: bytes, over: bool) -> None:
-        self.copying.record(number, payload, self._now(), over)
+        self.replication.record(number, payload, self._now(), over)
 
-    def waited(self, route: int, until: float) -> None:
+    def record_wait(self, route: int, until: float) -> None:
         """A destination told to wait."""
-        self.copying.wait(route, until, self._now())
+        self.replication.wait(route, until, self._now())
 
     def is_copied(self, number: int) -> bool:
-        return self.copying.is_copied(number)
+        return self.replication.is_copied(number)
 
-    def may_be_taken_on(self, number: int) -> bool:
-        return self.copying.may_be_taken_on(number)
+    def may_be_accepted(self, number: int) -> bool:
+        return self.replication.may_be_accepted(number)
 
-    async def until_taken_on(self, number: int, within_s: float) -> bool:
-        return await self._until(lambda: self.copying.may_be_taken_on(number), within_s)
+    async def until_accepted(self, number: int, within_s: float) -> bool:
+        return await self._until(lambda: self.replication.may_be_accepted(number), within_s)
 
     async def until_safe(self, number: int, within_s: float) -> bool:
         """Wait until all that was recorded of a message is copied as its class asks."""
-        if self.copying.is_safe(number):
+        if self.replication.is_safe(number):
             return True
-        part, last = self.copying.mark(number)
-        return await self._until(lambda: self.copying.has(part, last), within_s)
+        part, last = self.replication.mark(number)
+        return await self._until(lambda: self.replication.has(part, last), within_s)
 
     async def _until(self, holds: Callable[[], bool], within_s: float) -> bool:
         """Look again with each word of a link or of the store."""
@@ -162,21 +166,21 @@
         return False
 
     def when_safe(self, number: int, then: Callable[[], None]) -> None:
-        if self.copying.is_safe(number):
+        if self.replication.is_safe(number):
             then()
         else:
             self._waiting.append((number, then))
 
     def may_act(self, number: int) -> bool:
         """Whether it is proved right now that nobody else has this message."""
-        return not self.copying.is_copied(number) or self._proved(self.copying.mark(number)[0])
+        return not self.replication.is_copied(number) or self._proved(self.replication.mark(number)[0])
 
     def may_end(self) -> bool:
         """Whether ends may be told: of all parts."""
-        return all(self._proved(part) for part in range(self.copying.parts))
+        return all(self._proved(part) for part in range(self.replication.parts))
 
     def _proved(self, part: int) -> bool:
-        return self.proof.holds(self._now(), (holder.relay for holder in self.copying.required(part)))
+        return self.validity.holds(self._now(), (holder.relay for holder in self.replication.required(part)))
 
     @property
     def ends_waiting(self) -> int:
@@ -199,7 +203,7 @@
     async def _when_registered(self, tasks: TaskGroup) -> None:
         while not self.fleet.registered:
             await anyio.sleep(_LOOK_S)
-        self._out.epoch = self.tenure.epoch
+        self._out.epoch = self.ownership.epoch
         tasks.start_soon(self.fleet.run)
         tasks.start_soon(self._claim)
         await self._arrange(tasks)
@@ -245,21 +249,21 @@
         return claim != FailoverClaim(relay, epoch, adopted=True)
 
     def _heard(self, relay: str, sent_at: float) -> None:
-        self.proof.heard(relay, sent_at)
+        self.validity.acknowledged(relay, sent_at)
 
     # Copies of this relay's work.
 
     async def _arrange(self, tasks: TaskGroup) -> None:
         roster = self.fleet.roster
-        while not self.proof.passed:
+        while not self.validity.passed:
             zones = {relay: member.zone for relay, member in roster.members.items()} | {self._name: self._set.zone}
             wanted = [self._chosen(part, zones) for part in range(self._set.parts)]
-            self._out.wanted = ({relay for relays in wanted for relay in relays} | set(self.copying.holders())) - {
+            self._out.wanted = ({relay for relays in wanted for relay in relays} | set(self.replication.holders())) - {
                 self._name
             }
             self._out.arrange(tasks)
-            target = self.copying.arrange(wanted, self._out.late, self._now())
-            if target != self.copying.published and not self._publishing and not self._leaving:
+            target = self.replication.arrange(wanted, self._out.late, self._now())
+            if target != self.replication.published and not self._publishing and not self._leaving:
                 tasks.start_soon(self._publish, target)
             self._done_waiting()
             with anyio.move_on_after(_LOOK_S):
@@ -273,27 +277,27 @@
         return (good or order)[: self._set.copies]
 
     def _is_full(self, relay: str, part: int) -> bool:
-        link = self.copying.links.get(relay)
+        link = self.replication.links.get(relay)
         return link is not None and part in link.refused
 
     async def _publish(self, target: tuple[tuple[ReplicaHolder, ...], ...]) -> None:
         """Name these holders. Until the store's answer is known, acts rest on both the old and the new."""
         self._publishing = True
         try:
-            self.copying.publishing(target)
-            self.tenure.published = self._both(target)
-            done = await self.fleet.publish(self.tenure.publish(self.fleet.roster, target))
-            while done is None and not self.proof.passed:
+            self.replication.publishing(target)
+            self.ownership.published = self._both(target)
+            done = await self.fleet.publish(self.ownership.publish(self.fleet.roster, target))
+            while done is None and not self.validity.passed:
                 await anyio.sleep(_LOOK_S)
                 if await self.fleet.read():
-                    shown = self.tenure.shown(self.fleet.roster)
+                    shown = self.ownership.shown(self.fleet.roster)
                     done = shown == target
             if done:
-                self.copying.publish(target, self._now())
+                self.replication.publish(target, self._now())
             else:  # it is as it was, or another relay has claimed it, which the roster tells
                 await self.fleet.read()
-                self.copying.publishing(((),) * self.copying.parts)
-            self.tenure.published = self.copying.published
+                self.replication.publishing(((),) * self.replication.parts)
+            self.ownership.published = self.replication.published
             if done:
                 await self.fleet.read()
                 logger.bind(event="takeover.holders", holders=[[one.relay for one in part] for part in target]).info(
@@ -304,7 +308,9 @@
             self.changes.notify()
 
     def _both(self, target: tuple[tuple[ReplicaHolder, ...], ...]) -> tuple[tuple[ReplicaHolder, ...], ...]:
-        return tuple(tuple(dict.fromkeys(old + new)) for old, new in zip(self.copying.published, target, strict=True))
+        return tuple(
+            tuple(dict.fromkeys(old + new)) for old, new in zip(self.replication.published, target, strict=True)
+        )
 
     def _done_waiting(self) -> None:
         if self._waiting:
@@ -317,11 +323,11 @@
     async def _claim(self) -> None:
         """Claim what is due, as soon as it is."""
         seen: dict[tuple[str, int, int], float] = {}
-        while not self.proof.passed:
+        while not self.validity.passed:
             now, again = self._now(), float("inf")
-            for held in self.holdings:
+            for held in self.replicas:
                 due, later = self.claims.parts_due(
-                    self.fleet.roster, held.owner, held.epoch, now, self.holdings.names()
+                    self.fleet.roster, held.owner, held.epoch, now, self.replicas.names()
                 )
                 due = [part for part in due if part not in held.gave_up]
                 again = min(again, later)
@@ -333,7 +339,7 @@
                     and is_over(self.fleet.roster, held.owner, held.epoch, self._name)
                 ):
                     self.claims.forget(held.owner, held.epoch)
-                    self.holdings.remove(held)
+                    self.replicas.remove(held)
             await self._forget_claims(seen)
             with anyio.move_on_after(max(0.0, min(again - now, 500.0)) / 1e3):
                 await self.fleet.changes.wait()
@@ -362,11 +368,11 @@
         owner, epoch = held.owner, held.epoch
         self.claims.claiming(owner, epoch)
         done = await self.fleet.commit(
-            self.claims.claim(roster, owner, epoch, parts, self.tenure.epoch, self.fleet.lease)
+            self.claims.claim(roster, owner, epoch, parts, self.ownership.epoch, self.fleet.lease)
         )
         read = await self.fleet.read()
         if done is None:
-            mine = FailoverClaim(self._name, self.tenure.epoch)
+            mine = FailoverClaim(self._name, self.ownership.epoch)
             done = read and all(roster.claims.get((owner, epoch, part)) == mine for part in parts)
         if not done:
             if read and not self.claims.is_claimer(roster, owner, epoch):
@@ -388,18 +394,18 @@
         with anyio.move_on_after(_ADOPT_S):
             for number in numbers:
                 await self.until_safe(number, _ADOPT_S)
-        adopted = await self.fleet.commit(self.claims.adopted(roster, owner, epoch, parts, self.tenure.epoch))
-        while adopted is None and not self.proof.passed:
+        adopted = await self.fleet.commit(self.claims.adopted(roster, owner, epoch, parts, self.ownership.epoch))
+        while adopted is None and not self.validity.passed:
             await anyio.sleep(_LOOK_S)
             if await self.fleet.read():
                 told = [roster.claims.get((owner, epoch, part)) for part in parts]
-                if all(claim == FailoverClaim(self._name, self.tenure.epoch, True) for claim in told):
+                if all(claim == FailoverClaim(self._name, self.ownership.epoch, True) for claim in told):
                     adopted = True
                 elif any(claim is None or claim.relay != self._name for claim in told):
                     adopted = False
                 else:
                     adopted = await self.fleet.commit(
-                        self.claims.adopted(roster, owner, epoch, parts, self.tenure.epoch)
+                        self.claims.adopted(roster, owner, epoch, parts, self.ownership.epoch)
                     )
         if not adopted:
             logger.bind(event="takeover.lost_claim", owner=owner, epoch=epoch).warning(
@@ -420,16 +426,16 @@
     async def hand_over(self, within_s: float) -> bool:
         """Let go of all copied work: wait until what was recorded of it is copied, then say so to the store."""
         self._leaving = True
-        if not self.fleet.registered or self.proof.passed:
+        if not self.fleet.registered or self.validity.passed:
             return False
         with anyio.move_on_after(within_s):
             while self._publishing or self._waiting:
                 await anyio.sleep(_LOOK_S)
-            for number in self.copying.numbers():
+            for number in self.replication.numbers():
                 await self.until_safe(number, within_s)
         await self.fleet.leave()
         return True
 
     async def close(self) -> None:
-        self.holdings.close()
+        self.replicas.close()
         await self.fleet.store.close()
--- a/calicohitch/failover/copying.py
+++ b/calicohitch/failover/replication.py
@@ -116,7 +116,7 @@
         message = self._messages.get(number)
         return message is None or not message.waits or self.has(message.part, message.last)
 
-    def may_be_taken_on(self, number: int) -> bool:
+    def may_be_accepted(self, number: int) -> bool:
         """Its client may be told so: it is safe, and with as many as its class asks for. Guards a message against
         holders that left between its first record and its 202."""
         message = self._messages.get(number)
--- a/calicohitch/fleet/lease_validity.py
+++ b/calicohitch/fleet/lease_validity.py
@@ -54,7 +54,7 @@
         """The store says that the lease is gone. Holders may still keep still."""
         self._renewed = -math.inf
 
-    def heard(self, holder: str, sent_at: float) -> None:
+    def acknowledged(self, holder: str, sent_at: float) -> None:
         self._heard[holder] = max(self._heard.get(holder, -math.inf), sent_at)
 
     def forget(self, holder: str) -> None:
--- a/calicohitch/fleet/membership.py
+++ b/calicohitch/fleet/membership.py
@@ -38,20 +38,20 @@
     def __init__(
         self,
         store: Store,
-        tenure: Ownership,
-        proof: LeaseValidity,
+        ownership: Ownership,
+        validity: LeaseValidity,
         folder: Path,
         settings: FleetSettings,
         now: Callable[[], float],
     ) -> None:
-        self.store, self.tenure, self.proof, self.roster = store, tenure, proof, Roster(tenure.keys)
+        self.store, self.ownership, self.validity, self.roster = store, ownership, validity, Roster(ownership.keys)
         self._path, self._set, self._now = folder / _FILE, settings, now
         self.lease = 0
         self.kept = self._read_kept()
         self.changes = ChangeNotifier()
         self.on_passed: Callable[[str], None] = lambda _why: None
         self.registered = False
-        self.went_back = 0  # times that the store was found empty or gone back
+        self.store_rollbacks = 0  # times that the store was found empty or gone back
         self.failures = 0  # questions in a row without an answer
         self._leaving = False
         self._watching = anyio.CancelScope()
@@ -108,7 +108,7 @@
             seen = await self._asked(lambda: self.store.read(self.roster.keys.prefix))
         except StoreError:
             return False
-        if self.roster.went_back(seen, asked_at):
+        if self.roster.store_rollbacks(seen, asked_at):
             await self._gone_back(seen)
         elif seen.revision >= self.roster.revision:  # else the watch has told of more since
             self._replace(seen)
@@ -121,7 +121,7 @@
     async def _gone_back(self, seen: Seen) -> None:
         """The store lost what it told. Nothing of before is claimed any more: a new generation begins, unless another
         relay has begun one."""
-        self.went_back += 1
+        self.store_rollbacks += 1
         self._watching.cancel()  # it waits for a revision that comes long after what changes now
         before = self.roster.generation
         logger.bind(event="fleet.went_back", before=self.roster.revision, now=seen.revision).error(
@@ -139,11 +139,16 @@
         self._changed()
 
     async def _generate(self) -> None:
-        await self.commit(self.tenure.generate(self.roster, secrets.token_hex(8)))
+        await self.commit(self.ownership.generate(self.roster, secrets.token_hex(8)))
 
     def _changed(self) -> None:
-        if self.registered and not self._leaving and not self.proof.passed and (why := self.tenure.look(self.roster)):
-            self.proof.passed = why
+        if (
+            self.registered
+            and not self._leaving
+            and not self.validity.passed
+            and (why := self.ownership.look(self.roster))
+        ):
+            self.validity.passed = why
             logger.bind(event="fleet.passed").error("{}", why)
             self.on_passed(why)
         self.changes.notify()
@@ -162,7 +167,7 @@
             if not self.roster.generation:
                 await self._generate()
                 continue
-            if not self.tenure.epoch and (why := self.tenure.taken_by(self.roster, self.kept)):
+            if not self.ownership.epoch and (why := self.ownership.taken_by(self.roster, self.kept)):
                 if self._now() > wait_until:
                     raise NameTaken(f"{why}: stop that process, or give this relay a name of its own (NODE_NAME)")
                 await anyio.sleep(_AGAIN_S)
@@ -170,11 +175,11 @@
             if not await self._registered():
                 await anyio.sleep(_AGAIN_S)
                 continue
-            taken, step = self.tenure.resume(self.roster, self.kept)
+            taken, step = self.ownership.resume(self.roster, self.kept)
             if step is None or await self.commit(step):
                 break
             await self.read()
-        self.keep(Kept(self.tenure.epoch, False, self.roster.generation))
+        self.keep(Kept(self.ownership.epoch, False, self.roster.generation))
         await self.read()
         self.registered = True
         self._changed()
@@ -182,7 +187,7 @@
 
     async def _registered(self) -> bool:
         """Whether the store has this life's record."""
-        if self.tenure.epoch and self.tenure.is_mine(self.roster, self.lease):
+        if self.ownership.epoch and self.ownership.is_mine(self.roster, self.lease):
             return True
         sent = self._now()
         try:
@@ -190,16 +195,16 @@
         except StoreError:
             return False
         self.lease = lease
-        epoch, step = self.tenure.register(self.roster, self.kept, lease)
+        epoch, step = self.ownership.register(self.roster, self.kept, lease)
         done = await self.commit(step)
         if done is None:  # its answer was lost: what stands there tells
-            self.tenure.begun(epoch)
-            if not (await self.read() and self.tenure.is_mine(self.roster, lease)):
+            self.ownership.begun(epoch)
+            if not (await self.read() and self.ownership.is_mine(self.roster, lease)):
                 return False
         elif not done:
             return False
-        self.tenure.begun(epoch)
-        self.proof.renewed(sent)
+        self.ownership.begun(epoch)
+        self.validity.renewed(sent)
         return await self.read()
 
     async def run(self) -> None:
@@ -209,7 +214,7 @@
             tasks.start_soon(self._renew)
 
     async def _renew(self) -> None:
-        while not self.proof.passed and not self._leaving:
+        while not self.validity.passed and not self._leaving:
             began = self._now()
             await self.renew()
             await anyio.sleep(max(0.05, (self._set.renew_ms - (self._now() - began)) / 1e3))
@@ -218,9 +223,9 @@
         """Once: read this relay's record and renew its lease; where that is gone, see what became of it."""
         sent, asked_at = self._now(), self.roster.revision
         try:
-            seen = await self._asked(lambda: self.store.read(self.tenure.keys.member(self.tenure.relay)))
+            seen = await self._asked(lambda: self.store.read(self.ownership.keys.member(self.ownership.relay)))
             mine = [item for item in seen.items if item.lease == self.lease]
-            work = self.roster.works.get((self.tenure.relay, self.tenure.epoch))
+            work = self.roster.works.get((self.ownership.relay, self.ownership.epoch))
             stale = work is not None and work.generation != self.roster.generation
             if (
                 seen.revision < asked_at
@@ -228,16 +233,16 @@
                 or not mine
                 or not await self._asked(lambda: self.store.keep(self.lease))
             ):
-                self.proof.expired()
+                self.validity.expired()
                 await self._again()
                 return
         except StoreError:
             return  # what was proved before holds for its time
-        self.proof.renewed(sent)
+        self.validity.renewed(sent)
 
     async def _again(self) -> None:
         """The lease is gone, or the store went back. If nobody claimed anything meanwhile the same epoch goes on."""
-        if not await self.read() or self.proof.passed:
+        if not await self.read() or self.validity.passed:
             return
         if not self.roster.generation:
             await self._generate()
@@ -248,15 +253,15 @@
             lease = await self._asked(lambda: self.store.grant(self._set.ttl_ms))
         except StoreError:
             return
-        if await self.commit(self.tenure.reassert(self.roster, lease)):
+        if await self.commit(self.ownership.reassert(self.roster, lease)):
             self.lease = lease
-            self.proof.renewed(sent)
-            self.keep(Kept(self.tenure.epoch, self.kept.published, self.roster.generation))
+            self.validity.renewed(sent)
+            self.keep(Kept(self.ownership.epoch, self.kept.published, self.roster.generation))
         await self.read()
 
     async def _follow(self) -> None:
         """Hear of changes; where the watch ends, read all and go on from there."""
-        while not self.proof.passed and not self._leaving:
+        while not self.validity.passed and not self._leaving:
             watch = self.store.watch(self.roster.keys.prefix, self.roster.revision)
             try:
                 with anyio.CancelScope() as self._watching:
@@ -279,21 +284,21 @@
     async def publish(self, step: Step) -> bool | None:
         """Name holders of copies; noted in the folder first, since from then on others may claim."""
         if not self.kept.published:
-            self.keep(Kept(self.tenure.epoch, True, self.roster.generation))
+            self.keep(Kept(self.ownership.epoch, True, self.roster.generation))
         return await self.commit(step)
 
     async def leave(self) -> None:
         """Let go of all of this tenure's work."""
         self._leaving = True
         for _ in range(3):
-            done = await self.commit(self.tenure.hand_over(self.roster))
+            done = await self.commit(self.ownership.hand_over(self.roster))
             if done:
                 with suppress(StoreError):
                     await self._asked(lambda: self.store.revoke(self.lease))
                 return
             if done is None or not await self.read():
                 return  # the lease runs out by itself
-            if not self.tenure.is_mine(self.roster, self.lease):
+            if not self.ownership.is_mine(self.roster, self.lease):
                 return
 
 
--- a/calicohitch/fleet/roster.py
+++ b/calicohitch/fleet/roster.py
@@ -25,7 +25,7 @@
         self._revisions: dict[str, int] = {}
         self._leases: dict[str, int] = {}
 
-    def went_back(self, seen: Seen, asked_at: int) -> bool:
+    def store_rollbacks(self, seen: Seen, asked_at: int) -> bool:
         """Whether the store lost what it once told: its revision fell, or its generation is another. `asked_at`: the
         revision that was known when it was asked; a watch may have told of later ones since."""
         told = {item.key: item.value for item in seen.items}
--- a/calicohitch/intake/admission/keeping.py
+++ b/calicohitch/intake/admission/keep_alive.py
@@ -13,18 +13,18 @@
 _SCARCE = 0.5  # share of the seats that are taken
 
 
-class Keeping:
+class KeepAlivePolicy:
     """Tell it of each connection that was kept after a message whether it came again."""
 
     def __init__(self) -> None:
         self.used_again = 1.0  # moving share
 
-    def came_again(self) -> None:
+    def was_used_again(self) -> None:
         self.used_again += _WEIGHT * (1.0 - self.used_again)
 
-    def did_not(self) -> None:
+    def not_used_again(self) -> None:
         self.used_again -= _WEIGHT * self.used_again
 
-    def keep(self, taken: int, most: int) -> bool:
+    def allows(self, taken: int, most: int) -> bool:
         """Whether to keep a connection, with so many seats taken of so many."""
         return self.used_again >= _WORTH or taken < _SCARCE * most
--- a/calicohitch/intake/clients.py
+++ b/calicohitch/intake/clients.py
@@ -39,14 +39,14 @@
 from ..core.descriptor_budget import DescriptorUse
 from ..core.change_notifier import ChangeNotifier
 from .admission.account import Account
-from .admission.keeping import Keeping
+from .admission.keep_alive import KeepAlivePolicy
 from .admission.load import Load
 from .admission.queue import FairQueue
 from .admission.settings import AdmissionSettings
 from .admission.shares import Shares, Verdict
 from .head import Common, answer, read
 from .readiness import Readiness
-from .seats import Seat, Seats
+from .sessions import ClientSession, SessionTable
 from .submission import ACCEPTED, BadRequest, SubmissionAnswer, read_submission, refusal
 
 _IDLE_S = 5.0  # a connection between requests
@@ -78,28 +78,31 @@
     ) -> None:
         self._relay, self._classes, self._listener = relay, classes, listener
         self._set = admission or AdmissionSettings()
-        self.seats = Seats()
+        self.sessions = SessionTable()
         self.shares = Shares(self._set.caps, relay.max_clients)
         self.account = Account()
         self._load = Load(self._set.load, seed)
         self._random = random.Random(seed + 1)
-        self._ready: FairQueue[Seat] = FairQueue()
+        self._ready: FairQueue[ClientSession] = FairQueue()
         self._busy = False  # something came since the loop's lateness was last measured
         self._spare = -1  # a descriptor that is kept for a word to those for whom there is none
-        self._by_fd: dict[int, Seat] = {}
+        self._by_fd: dict[int, ClientSession] = {}
         self._waited_for: Readiness | None = None
         self._listening = self._ending = False
         self._starved_since = math.inf  # when accept began to fail for want of something here
         self._tasks: TaskGroup | None = None
         self._waiting = ChangeNotifier()  # that a seat waits with a time of its own
         self._answering = 0
-        self._keeping = Keeping()
+        self._keep_alive_policy = KeepAlivePolicy()
 
     @property
     def answering(self) -> int:
         """Requests that have begun and are not answered yet."""
         return self._answering + sum(
-            1 for line in (self.seats.fresh, self.seats.begun) for seat in line if seat.data or seat.scope
+            1
+            for line in (self.sessions.fresh, self.sessions.begun)
+            for session in line
+            if session.data or session.scope
         )
 
     async def run(self) -> None:
@@ -115,9 +118,9 @@
                 await restarted(self._take_turns)
         finally:
             self._listen(False)
-            for seat in list(self._by_fd.values()):
-                self._leave(seat)
-                close_quietly(seat.sock)
+            for session in list(self._by_fd.values()):
+                self._leave(session)
+                close_quietly(session.sock)
             self._give_up_spare()
 
     async def _take_turns(self) -> None:
@@ -152,13 +155,13 @@
         for fd in readable:
             if fd == listener:
                 connecting = True
-            elif (seat := self._by_fd.get(fd)) and not seat.queued:
-                seat.queued = True
-                self._ready.put(seat.source, seat, now)
-        for seat, since in self._ready.take(_READS_A_TURN):
-            seat.queued = False
-            if not seat.gone and not seat.scope:
-                self._guarded(seat, (now - since) * 1e3)
+            elif (session := self._by_fd.get(fd)) and not session.queued:
+                session.queued = True
+                self._ready.put(session.source, session, now)
+        for session, since in self._ready.take(_READS_A_TURN):
+            session.queued = False
+            if not session.gone and not session.scope:
+                self._guarded(session, (now - since) * 1e3)
         if connecting:
             self._accept()
 
@@ -178,7 +181,7 @@
             await anyio.sleep(self._set.told_every_s)
             if told := self.account.told():
                 ledger = self._relay.descriptors.summary()
-                logger.bind(event="clients.shed", seats=self.seats.count, ledger=ledger, **told).info(
+                logger.bind(event="clients.shed", seats=self.sessions.count, ledger=ledger, **told).info(
                     "clients: {} were shed or refused: {}",
                     sum(told["causes"].values()),  # type: ignore[attr-defined]
                     ", ".join(
@@ -187,19 +190,19 @@
                     ),
                 )
 
-    def _guarded(self, seat: Seat, waited_ms: float = 0.0) -> None:
+    def _guarded(self, session: ClientSession, waited_ms: float = 0.0) -> None:
         try:
-            self._read(seat, waited_ms)
+            self._read(session, waited_ms)
         except Exception:  # guards all other connections against a fault in the handling of one
             logger.exception("a client's connection broke off")
-            self._close(seat)
+            self._close(session)
 
     # Coming and going.
 
     def _accept(self) -> bool:
         """Let in a turn's worth of those who connected; whether there may be more."""
         for _ in range(_ACCEPTS_A_TURN):
-            if self.seats.count >= self._relay.max_clients and not self._make_room():
+            if self.sessions.count >= self._relay.max_clients and not self._make_room():
                 self._pause()
                 return False
             try:
@@ -283,75 +286,75 @@
             self._turn_off(sock, source, "no descriptor was left")
             return
         self.account.accepted += 1
-        seat = Seat(sock, source, now, deadline=now + _REQUEST_S)
-        self.seats.count += 1
-        self.seats.fresh[seat] = None
-        self._guarded(seat)  # most have sent their request by now
-        if not seat.gone and not seat.scope:
-            self._wait(seat)
-
-    def _wait(self, seat: Seat) -> None:
+        session = ClientSession(sock, source, now, deadline=now + _REQUEST_S)
+        self.sessions.count += 1
+        self.sessions.fresh[session] = None
+        self._guarded(session)  # most have sent their request by now
+        if not session.gone and not session.scope:
+            self._wait(session)
+
+    def _wait(self, session: ClientSession) -> None:
         assert self._waited_for and self._tasks
         self._waiting.notify()
         try:
-            self._waited_for.register(seat.sock)
+            self._waited_for.register(session.sock)
         except OSError as err:  # the poll takes no more sockets for a moment
             logger.debug("a client's connection is not waited for yet: {}", err)
-            self._tasks.start_soon(self._wait_later, seat)
+            self._tasks.start_soon(self._wait_later, session)
             return
-        self._by_fd[seat.sock.fileno()] = seat
+        self._by_fd[session.sock.fileno()] = session
 
-    async def _wait_later(self, seat: Seat) -> None:
+    async def _wait_later(self, session: ClientSession) -> None:
         await anyio.sleep(RETRY_PAUSE_S)
-        if not seat.gone and not seat.scope and seat.sock.fileno() not in self._by_fd:
-            self._wait(seat)
+        if not session.gone and not session.scope and session.sock.fileno() not in self._by_fd:
+            self._wait(session)
 
-    def _leave(self, seat: Seat) -> None:
+    def _leave(self, session: ClientSession) -> None:
         """Its socket is no longer waited for here, and stays open."""
-        if self._by_fd.pop(seat.sock.fileno(), None) and self._waited_for:
-            self._waited_for.unregister(seat.sock)
+        if self._by_fd.pop(session.sock.fileno(), None) and self._waited_for:
+            self._waited_for.unregister(session.sock)
 
-    def _close(self, seat: Seat, answered: bool = False) -> None:
+    def _close(self, session: ClientSession, answered: bool = False) -> None:
         """`answered`: the last that was written to it is an answer, which has to arrive."""
-        if not seat.gone:
-            seat.gone = True
-            self.seats.count -= 1
-            self.shares.leave(seat.source)
+        if not session.gone:
+            session.gone = True
+            self.sessions.count -= 1
+            self.shares.leave(session.source)
             self._relay.descriptors.release(DescriptorUse.CLIENTS)
-            if seat.handed_in and seat in self.seats.kept:
-                self._keeping.did_not()
-            self.seats.leave_line(seat)
-            if seat.scope:
-                seat.scope.cancel()  # its task closes the socket
+            if session.handed_in and session in self.sessions.kept:
+                self._keep_alive_policy.not_used_again()
+            self.sessions.leave_line(session)
+            if session.scope:
+                session.scope.cancel()  # its task closes the socket
             else:
-                self._leave(seat)
+                self._leave(session)
                 if answered:
-                    hang_up(seat.sock)
+                    hang_up(session.sock)
                 else:
-                    close_quietly(seat.sock)
+                    close_quietly(session.sock)
 
     def _make_room(self) -> bool:
         """Close one connection that is owed no answer."""
         now = anyio.current_time()
-        seat = self.seats.to_shed(now, self.shares.weight, lambda source: self.shares.known(source, now * 1e3))
-        if seat:
+        session = self.sessions.to_shed(now, self.shares.weight, lambda source: self.shares.known(source, now * 1e3))
+        if session:
             cause = (
                 "began a request and did not end it"
-                if seat.data or seat.scope
+                if session.data or session.scope
                 else "said nothing"
-                if seat.first
+                if session.first
                 else "idle between requests"
             )
-            self.account.shed(f"made room: {cause}", seat.source)
-            self._close(seat)
-        return seat is not None
+            self.account.shed(f"made room: {cause}", session.source)
+            self._close(session)
+        return session is not None
 
     def close_kept(self) -> None:
         """Close the connections that are between requests: their clients come again elsewhere at no harm. Whoever sent
         nothing on a connection yet counts on an answer to the first request."""
-        for seat in list(self.seats.kept):
-            if seat.is_silent():
-                self._close(seat)
+        for session in list(self.sessions.kept):
+            if session.is_silent():
+                self._close(session)
 
     async def finish(self) -> None:
         """The end of the service, once nothing is owed. Whoever has connected by now is let in and told to go
@@ -364,116 +367,116 @@
         self._listen(False)
         close_quietly(self._listener)
         until = anyio.current_time() + _LAST_S
-        while (self.seats.count or self._answering) and anyio.current_time() < until:
+        while (self.sessions.count or self._answering) and anyio.current_time() < until:
             await anyio.sleep(0.01)
-        for seat in list(self._by_fd.values()):
-            if seat.is_unread():
-                self._guarded(seat)
+        for session in list(self._by_fd.values()):
+            if session.is_unread():
+                self._guarded(session)
         while self._answering and anyio.current_time() < until + _LINGER_S:
             await anyio.sleep(0.01)
 
     async def _end_overdue(self) -> None:
         while True:
-            due = self.seats.next_due()
+            due = self.sessions.next_due()
             if due is None:
                 await self._waiting.wait()
                 continue
             await anyio.sleep(min(max(due - anyio.current_time(), 0.02), _LOOK_S))
-            for seat in self.seats.due(anyio.current_time()):
-                if not seat.scope and seat.is_unread():  # it came in time, and its turn did not
-                    self._guarded(seat)
-                    if seat.gone or seat.scope or seat.deadline > anyio.current_time():
+            for session in self.sessions.due(anyio.current_time()):
+                if not session.scope and session.is_unread():  # it came in time, and its turn did not
+                    self._guarded(session)
+                    if session.gone or session.scope or session.deadline > anyio.current_time():
                         continue
-                if seat.first or seat.data or seat.scope:
-                    self.account.shed("out of time without a whole request", seat.source)
-                if seat.scope:
-                    self.seats.leave_line(seat)  # its task has the same time, and a word to say
-                elif seat.data:
-                    self._hand_over(seat, late=True)
+                if session.first or session.data or session.scope:
+                    self.account.shed("out of time without a whole request", session.source)
+                if session.scope:
+                    self.sessions.leave_line(session)  # its task has the same time, and a word to say
+                elif session.data:
+                    self._hand_over(session, late=True)
                 else:
-                    self._close(seat)
+                    self._close(session)
 
     # The common request.
 
-    def _read(self, seat: Seat, waited_ms: float) -> None:
+    def _read(self, session: ClientSession, waited_ms: float) -> None:
         try:
-            data = receive_at_once(seat.sock)
+            data = receive_at_once(session.sock)
         except OSError:
             data = b""
         if data is None:
             return
         if not data:
-            if seat.data:
-                self._hand_over(seat, ended=True)
+            if session.data:
+                self._hand_over(session, ended=True)
             else:
-                self._close(seat)
+                self._close(session)
             return
-        if not seat.data and not seat.first:  # a later request begins
-            if seat.handed_in:
-                self._keeping.came_again()
-            self.seats.leave_line(seat)
-            seat.deadline = anyio.current_time() + _REQUEST_S
-        seat.data += data
-        found = read(seat.data)
+        if not session.data and not session.first:  # a later request begins
+            if session.handed_in:
+                self._keep_alive_policy.was_used_again()
+            self.sessions.leave_line(session)
+            session.deadline = anyio.current_time() + _REQUEST_S
+        session.data += data
+        found = read(session.data)
         if isinstance(found, Common):
-            self.seats.leave_line(seat)
-            seat.data = b""
-            self._answer_now(seat, found, waited_ms)
+            self.sessions.leave_line(session)
+            session.data = b""
+            self._answer_now(session, found, waited_ms)
         elif found is Look.UNCOMMON:
-            self._hand_over(seat)
-        elif not seat.first:
-            self.seats.begun[seat] = None
+            self._hand_over(session)
+        elif not session.first:
+            self.sessions.begun[session] = None
 
-    def _answer_now(self, seat: Seat, found: Common, waited_ms: float) -> None:
-        told, number, submission = self._decide(seat, found.request, waited_ms)
-        seat.handed_in = number is not None
+    def _answer_now(self, session: ClientSession, found: Common, waited_ms: float) -> None:
+        told, number, submission = self._decide(session, found.request, waited_ms)
+        session.handed_in = number is not None
         if number is not None and submission and self._relay.awaits_replication(number):
             self._answering += 1
-            self._leave(seat)
+            self._leave(session)
             assert self._tasks
-            seat.scope = anyio.CancelScope()
-            self._tasks.start_soon(self._answer_copied, seat, number, submission, found.close)
+            session.scope = anyio.CancelScope()
+            self._tasks.start_soon(self._answer_copied, session, number, submission, found.close)
             return
         close = told.close or found.close or not self._keep_alive(number)
         data = answer(told.status, told.headers, told.body, close)
         try:
-            sent = send_at_once(seat.sock, data)
+            sent = send_at_once(session.sock, data)
         except OSError:
             sent = -1
         if sent < 0:
             if number is not None:
                 self._relay.withdraw(number)
-            self._close(seat)
+            self._close(session)
         elif sent < len(data):
-            self._leave(seat)
+            self._leave(session)
             assert self._tasks
             self._answering += 1
-            seat.scope = anyio.CancelScope()
-            self._tasks.start_soon(self._finish, seat, data[sent:], sent > 0, number, submission, close)
+            session.scope = anyio.CancelScope()
+            self._tasks.start_soon(self._finish, session, data[sent:], sent > 0, number, submission, close)
         else:
             if number is not None and submission:
                 self._relay.accept(number, submission)
             if close:
-                self._close(seat, answered=True)
+                self._close(session, answered=True)
             else:
-                self._keep(seat)
+                self._keep(session)
 
     def _keep_alive(self, number: int | None) -> bool:
         """Whether a connection is kept behind an answer, to a message that was taken on where there is a number."""
         return not self._relay.stopping and (
-            number is None or self._keeping.keep(self.seats.count, self._relay.max_clients)
+            number is None or self._keep_alive_policy.allows(self.sessions.count, self._relay.max_clients)
         )
 
-    def _keep(self, seat: Seat) -> None:
+    def _keep(self, session: ClientSession) -> None:
         """It is answered, and may come again."""
-        seat.first = False
-        seat.since = anyio.current_time()
-        seat.deadline = seat.since + _IDLE_S
-        self.seats.kept[seat] = None
+        session.first = False
+        session.since = anyio.current_time()
+        session.deadline = session.since + _IDLE_S
+        self.sessions.kept[session] = None
         self._waiting.notify()
 
     def _decide(
-        self, seat: Seat, request: Request, waited_ms: float = 0.0
+        self, session: ClientSession, request: Request, waited_ms: float = 0.0
     ) -> tuple[SubmissionAnswer, int | None, Submission | None]:
         """What a request that was read whole is answered; and the message that is accepted once it was."""
         if request.method == "GET" and request.path in ("/health/ready", "/health/live"):
@@ -488,54 +491,60 @@
         now = anyio.current_time() * 1e3
         if waited_ms:
             self._load.measured(now, waited_ms)
-        if has_ended(seat.sock):
+        if has_ended(session.sock):
             number: int | Refusal = Refusal.LEFT
-        elif not self._load.admits(self.shares.known(seat.source, now), waited_ms):
+        elif not self._load.admits(self.shares.known(session.source, now), waited_ms):
             number = Refusal.BUSY
             self._relay.turned_away(told, number)
         else:
             number = self._relay.submit(told)
         if isinstance(number, Refusal):
             if number is not Refusal.TAKEN:
-                self.account.shed(number.value, seat.source)
+                self.account.shed(number.value, session.source)
             return refusal(number, self._random.random()), None, None
-        self.shares.took_on(seat.source, now)
+        self.shares.took_on(session.source, now)
         return ACCEPTED, number, told
 
     # What takes a task.
 
-    async def _answer_copied(self, seat: Seat, number: int, submission: Submission, close: bool) -> None:
+    async def _answer_copied(self, session: ClientSession, number: int, submission: Submission, close: bool) -> None:
         """Say that a message is taken on once others hold copies of it. Where they do not in time nothing is said: it
         may be with some of them, and a refusal would promise that it is not."""
         told = False
         close = close or not self._keep_alive(number)
         try:
-            assert seat.scope
-            with seat.scope, anyio.move_on_after(_REPLY_S):
+            assert session.scope
+            with session.scope, anyio.move_on_after(_REPLY_S):
                 if await self._relay.replicated(number):
-                    await Link(seat.sock).send(answer(ACCEPTED.status, ACCEPTED.headers, ACCEPTED.body, close))
+                    await Link(session.sock).send(answer(ACCEPTED.status, ACCEPTED.headers, ACCEPTED.body, close))
                     told = True
                 else:
-                    self.account.shed("no copy in time", seat.source)
+                    self.account.shed("no copy in time", session.source)
         except OSError as err:
             logger.debug("a client's connection ended: {}", err)
         finally:
             self._answering -= 1
             if not told:
                 self._relay.withdraw(number)
-            self._task_over(seat, keep=told and not close)
+            self._task_over(session, keep=told and not close)
         if told:
             self._relay.accept(number, submission)
 
     async def _finish(
-        self, seat: Seat, rest: bytes, begun: bool, number: int | None, submission: Submission | None, close: bool
+        self,
+        session: ClientSession,
+        rest: bytes,
+        begun: bool,
+        number: int | None,
+        submission: Submission | None,
+        close: bool,
     ) -> None:
         """The part of an answer that the kernel did not take at once. Once a byte of it has gone its client may have
         heard that the message is taken on, whatever becomes of the rest: then it is."""
-        told, link = False, Link(seat.sock)
+        told, link = False, Link(session.sock)
         try:
-            assert seat.scope
-            with seat.scope, anyio.move_on_after(_REPLY_S):
+            assert session.scope
+            with session.scope, anyio.move_on_after(_REPLY_S):
                 await link.send(rest)
                 told = True
         except OSError as err:
@@ -545,57 +554,57 @@
             begun = begun or link.handed > 0
             if number is not None and not begun:
                 self._relay.withdraw(number)
-            self._task_over(seat, keep=told and not close)
+            self._task_over(session, keep=told and not close)
             if begun and number is not None and submission:
                 self._relay.accept(number, submission)
 
-    def _task_over(self, seat: Seat, keep: bool) -> None:
+    def _task_over(self, session: ClientSession, keep: bool) -> None:
         """Its connection waits again without a task, or is closed."""
-        seat.scope = None
-        if keep and not seat.gone:
-            self._wait(seat)
-            self._keep(seat)
-        elif seat.gone:
-            hang_up(seat.sock)  # who closed it left that to its task
+        session.scope = None
+        if keep and not session.gone:
+            self._wait(session)
+            self._keep(session)
+        elif session.gone:
+            hang_up(session.sock)  # who closed it left that to its task
         else:
-            self._close(seat, answered=True)
+            self._close(session, answered=True)
 
-    def _hand_over(self, seat: Seat, late: bool = False, ended: bool = False) -> None:
+    def _hand_over(self, session: ClientSession, late: bool = False, ended: bool = False) -> None:
         """Give a request that is uncommon, or that does not end, to h11 and a task."""
         assert self._tasks
-        self._leave(seat)
-        seat.scope = anyio.CancelScope()
+        self._leave(session)
+        session.scope = anyio.CancelScope()
         if late or ended:
-            self.seats.leave_line(seat)
-        elif not seat.first:
-            self.seats.begun[seat] = None
-        self._tasks.start_soon(self._serve, seat, late, ended)
+            self.sessions.leave_line(session)
+        elif not session.first:
+            self.sessions.begun[session] = None
+        self._tasks.start_soon(self._serve, session, late, ended)
 
-    async def _serve(self, seat: Seat, late: bool, ended: bool) -> None:
+    async def _serve(self, session: ClientSession, late: bool, ended: bool) -> None:
         keep = False
-        connection = ServerConnection(Link(seat.sock))
-        data, seat.data = seat.data, b""
+        connection = ServerConnection(Link(session.sock))
+        data, session.data = session.data, b""
         try:
             connection.feed(data)
             if ended:
                 connection.feed(b"")
-            assert seat.scope
-            with seat.scope:
-                keep = await self._one_request(seat, connection, late)
+            assert session.scope
+            with session.scope:
+                keep = await self._one_request(session, connection, late)
         except (OSError, h11.ProtocolError) as err:
             logger.debug("a client's connection ended: {}", err)
         except Exception:
             logger.exception("a client's connection broke off")
         finally:
-            self.seats.leave_line(seat)
-            self._task_over(seat, keep)
+            self.sessions.leave_line(session)
+            self._task_over(session, keep)
 
-    async def _one_request(self, seat: Seat, connection: ServerConnection, late: bool) -> bool:
+    async def _one_request(self, session: ClientSession, connection: ServerConnection, late: bool) -> bool:
         """Answer one request; False when the connection is to be closed."""
         try:
             if late:
                 raise TimeoutError
-            with anyio.fail_after(seat.deadline - anyio.current_time()):
+            with anyio.fail_after(session.deadline - anyio.current_time()):
                 request = await connection.request()
         except h11.RemoteProtocolError as err:
             return await self._turn_away(connection, err.error_status_hint, "the request cannot be read")
@@ -607,14 +616,14 @@
             return await self._turn_away(connection, 408, "the request took too long")
         if request is None:
             return False
-        self.seats.leave_line(seat)
+        self.sessions.leave_line(session)
         self._answering += 1
-        told, number, submission = self._decide(seat, request)
-        seat.handed_in = number is not None
+        told, number, submission = self._decide(session, request)
+        session.handed_in = number is not None
         handed = connection.handed
         try:
             if number is not None and not await self._relay.replicated(number):
-                self.account.shed("no copy in time", seat.source)
+                self.account.shed("no copy in time", session.source)
                 raise ConnectionAbortedError("no copy in time")
             with anyio.fail_after(_REPLY_S):
                 await connection.respond(told.status, told.headers, told.body, told.close)
--- a/calicohitch/intake/seats.py
+++ b/calicohitch/intake/sessions.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Seat:
+class ClientSession:
     """One client's connection. `since` is when it was accepted, or last answered; times in the loop's seconds."""
 
     sock: socket.socket
@@ -40,42 +40,45 @@
 
 
 @dataclass(slots=True)
-class Seats:
+class SessionTable:
     """Every connection, in lines by when its time is up: each line's waits are of one length, so the first of a line
     is the first that is due. A seat stands in one line, or in none while it is being answered."""
 
-    fresh: dict[Seat, None] = field(default_factory=dict)  # without a whole request so far
-    kept: dict[Seat, None] = field(default_factory=dict)  # between requests
-    begun: dict[Seat, None] = field(default_factory=dict)  # a later request has begun
+    fresh: dict[ClientSession, None] = field(default_factory=dict)  # without a whole request so far
+    kept: dict[ClientSession, None] = field(default_factory=dict)  # between requests
+    begun: dict[ClientSession, None] = field(default_factory=dict)  # a later request has begun
     count: int = 0
 
-    def leave_line(self, seat: Seat) -> None:
+    def leave_line(self, session: ClientSession) -> None:
         for line in (self.fresh, self.kept, self.begun):
-            line.pop(seat, None)
+            line.pop(session, None)
 
-    def due(self, now: float) -> list[Seat]:
+    def due(self, now: float) -> list[ClientSession]:
         """Those whose time is up."""
         found = []
         for line in (self.fresh, self.kept, self.begun):
-            for seat in line:
-                if seat.deadline > now:
+            for session in line:
+                if session.deadline > now:
                     break
-                found.append(seat)
+                found.append(session)
         return found
 
     def next_due(self) -> float | None:
         return min((next(iter(line)).deadline for line in (self.fresh, self.kept, self.begun) if line), default=None)
 
-    def to_shed(self, now: float, weight: Callable[[str], float], known: Callable[[str], bool]) -> Seat | None:
+    def to_shed(self, now: float, weight: Callable[[str], float], known: Callable[[str], bool]) -> ClientSession | None:
         """Who makes room: one without a whole request that had time for it and of whom all is read, of the source with
         the greatest weight, and of those the oldest; else the longest between requests, whose client comes again at no
         harm; else any that is silent. Of the last two strangers go first."""
-        late = [seat for seat in islice(self.fresh, _MOST_COMPARED) if now - seat.since >= PATIENCE_S]
-        for seat in sorted(late, key=lambda seat: weight(seat.source), reverse=True):
-            if seat.scope or not seat.is_unread():
-                return seat
+        late = [session for session in islice(self.fresh, _MOST_COMPARED) if now - session.since >= PATIENCE_S]
+        for session in sorted(late, key=lambda session: weight(session.source), reverse=True):
+            if session.scope or not session.is_unread():
+                return session
         strangers = (
-            seat for line in (self.kept, self.fresh) for seat in islice(line, _MOST_COMPARED) if not known(seat.source)
+            session
+            for line in (self.kept, self.fresh)
+            for session in islice(line, _MOST_COMPARED)
+            if not known(session.source)
         )
-        anyone = (seat for line in (self.kept, self.fresh) for seat in line)
-        return next((seat for seats in (strangers, anyone) for seat in seats if seat.is_silent()), None)
+        anyone = (session for line in (self.kept, self.fresh) for session in line)
+        return next((session for seats in (strangers, anyone) for session in seats if session.is_silent()), None)
--- a/calicohitch/interface.py
+++ b/calicohitch/interface.py
@@ -339,7 +339,7 @@
     dest: int
     endpoint: int | None = None
     share: tuple[float, float, float] = (0.0, 1.0, 0.0)
-    sick: bool = False
+    failing: bool = False
     cold_at: int = -1
     wait_until: int = 0
     wait_only: bool = False
--- a/calicohitch/net/discovery.py
+++ b/calicohitch/net/discovery.py
@@ -19,7 +19,7 @@
 from ..core.descriptor_budget import DescriptorUse, DescriptorBudget
 from ..core.discovery_timeouts import DiscoveryTimeouts
 from ..core.system_errors import RETRY_PAUSE_S, Step, of_this_machine
-from .http import KeptConnection, Moved
+from .http import PersistentConnection, Moved
 
 _MAX_LIST = 16 << 20
 _CATCHES_UP_S = 6.5  # news counts as told after 6 s: a discovery that is behind for longer has lost its own
@@ -237,17 +237,17 @@
         address: Address,
         directory: Directory,
         tell: Callable[[ListTold], None],
-        patience: DiscoveryTimeouts,
+        timeouts: DiscoveryTimeouts,
         descriptors: DescriptorBudget | None = None,
     ) -> None:
         descriptor = (descriptors, DescriptorUse.DISCOVERY) if descriptors else None
-        self._agent = KeptConnection(address, _MAX_LIST, needs_body=True, descriptor=descriptor)
+        self._agent = PersistentConnection(address, _MAX_LIST, needs_body=True, descriptor=descriptor)
         self._directory, self._tell = directory, tell
         self._version: int | None = None
         self._at_once = False  # the list at hand may be old
         self._failures = 0
         self._believed_at: float | None = None  # when a discovery that is behind is one that has lost its own
-        self._patience = patience
+        self._timeouts = timeouts
         self._moved = anyio.Event()  # set by a move
         self.heard = anyio.Event()  # set by the first answer
 
@@ -275,18 +275,18 @@
                 if self._failures:
                     logger.info("discovery answers again, after {} failures", self._failures)
                 self._failures = 0
-                self._patience.answered()
+                self._timeouts.answered()
             except Moved:
                 # Guards against news that count as told while nobody asks: the old address was left, and the new one
                 # has not failed, so there is nothing to stay away from.
-                self._patience.answered()
+                self._timeouts.answered()
             except (OSError, ListError, ValueError, RecursionError) as err:  # silence is a TimeoutError: an OSError
                 if not self._failures:
                     logger.warning("discovery: {}: {}; the list stays as it is", type(err).__name__, err)
                 self._failures += 1
                 with anyio.move_on_after(self._pause_s(err)):
                     await self._moved.wait()
-                    self._patience.answered()
+                    self._timeouts.answered()
 
     async def _read_ahead(self, told: Any) -> None:
         items = told.get("members") if isinstance(told, dict) else None
@@ -299,16 +299,16 @@
         """Until the next question. Where this machine could not even ask, discovery has nothing to be spared from."""
         if of_this_machine(err, Step.CONNECTED):
             return RETRY_PAUSE_S
-        return self._patience.pause_s(silent=isinstance(err, OSError))
+        return self._timeouts.pause_s(silent=isinstance(err, OSError))
 
     async def _ask(self) -> None:
         target, wait = "/registry/instances", 0
         if anew := self._believed_at is not None and anyio.current_time() >= self._believed_at:
             self._version = None
         if self._version is not None:
-            wait = self._patience.wait_ms(self._at_once)
+            wait = self._timeouts.wait_ms(self._at_once)
             target = f"{target}?index={self._version}&wait={wait}"
-        response = await self._agent.request("GET", target, self._patience.limit_s(wait))
+        response = await self._agent.request("GET", target, self._timeouts.limit_s(wait))
         if response.status != 200:
             raise ListError(f"the answer is {response.status}")
         told = json.loads(response.body)
--- a/calicohitch/net/http.py
+++ b/calicohitch/net/http.py
@@ -403,7 +403,7 @@
         return data
 
 
-class KeptConnection:
+class PersistentConnection:
     """A connection to a server that is asked again and again, opened anew where it broke or moved."""
 
     def __init__(
--- a/calicohitch/net/notices.py
+++ b/calicohitch/net/notices.py
@@ -13,7 +13,7 @@
 from ..config import Address
 from ..journal import End
 from ..core.descriptor_budget import DescriptorUse, DescriptorBudget
-from .http import KeptConnection
+from .http import PersistentConnection
 
 _BATCH = 200  # notices in one request: well under 64 KiB
 # An agent answers at once, and a message has to be ended 300 ms after its time: a hung connection leaves room for one
@@ -50,7 +50,7 @@
     ) -> None:
         """`may_act`: asked before each request; while it says no, nothing is sent."""
         descriptor = (descriptors, DescriptorUse.NOTICES) if descriptors else None
-        self._agent, self._acknowledged = KeptConnection(address, descriptor=descriptor), acknowledged
+        self._agent, self._acknowledged = PersistentConnection(address, descriptor=descriptor), acknowledged
         self._may_act = may_act
         self._waiting: deque[Notice] = deque()
         self._news = anyio.Event()
--- a/calicohitch/net/relay.py
+++ b/calicohitch/net/relay.py
@@ -85,13 +85,14 @@
         tracer: Tracer | None = None,
         speaks: Callable[[str, str, int], int] = lambda *_: 1,
         reserved: int = 0,
-        memory: StateCache | None = None,
+        state_cache: StateCache | None = None,
         up_at: float | None = None,
-        copies: Replicator | None = None,
+        replicator: Replicator | None = None,
     ) -> None:
-        """`memory`: what is kept of the world between lives; without one a life begins knowing nothing. `up_at`: when
-        the process began, on the clock. `copies`: other relays hold copies of this one's work, and take it over."""
-        self._state_cache = memory
+        """`state_cache`: what is kept of the world between lives; without one a life begins knowing nothing. `up_at`:
+        when the process began, on the clock. `replicator`: other relays hold copies of this one's work, and take
+        it over."""
+        self._state_cache = state_cache
         self.recovery = Recovery(clock.now() if up_at is None else up_at)
         self._config, self._clock, self._journal = config, clock, journal
         settings = config.settings
@@ -116,8 +117,8 @@
         self.max_clients = config.limits.sockets // 2
         self._directory = Directory(config.names, speaks)
         backoff = Backoff(settings.couriers, config.seed)
-        patience = DiscoveryTimeouts(settings.asks_for_list, backoff)
-        self._discovery = Discovery(config.discovery, self._directory, self._listed, patience, self.descriptors)
+        timeouts = DiscoveryTimeouts(settings.asks_for_list, backoff)
+        self._discovery = Discovery(config.discovery, self._directory, self._listed, timeouts, self.descriptors)
         self._waits: dict[int, float] = {}  # destination, or endpoint where those are routes apart -> its end
         self._disk_refused = ChangeNotifier()
         journal.on_refused = self._disk_refused.notify
@@ -132,11 +133,11 @@
         )
         self._deliveries: dict[int, Delivery] = {0: self._endpoints}
         self.invariants = Invariants()
-        self._memory = CallHistory(settings.open_cap * 4)
-        self._copies, self.letting_go = copies, False
-        if copies:
-            copies.attach(self)
-            journal.copier = copies.record
+        self._call_history = CallHistory(settings.open_cap * 4)
+        self._replicator, self.letting_go = replicator, False
+        if replicator:
+            replicator.attach(self)
+            journal.copier = replicator.record
         self._peers: Peers | None = None
         if settings.may_tell and config.peer_listen:
             self._peers = Peers(config.peer_listen, config.peers, config.peers_all, self._heard)
@@ -158,15 +159,15 @@
                 tasks.start_soon(restarted, self._tracer.run)
             self._read_known()
             tasks.start_soon(restarted, self._discovery.run)
-            if self._copies:
-                tasks.start_soon(self._copies.run)
+            if self._replicator:
+                tasks.start_soon(self._replicator.run)
             # The list in the configuration may be old, and an endpoint on it drain by now: nothing is sent
             # before discovery was heard. A silent one does not keep the relay from serving.
             with anyio.move_on_after(_LIST_S):
                 await self._discovery.heard.wait()
             self._recover()
-            if self._copies:
-                tasks.start_soon(self._begin_copies)
+            if self._replicator:
+                tasks.start_soon(self._begin_replication)
                 with anyio.move_on_after(_FLEET_S):
                     await self._begun.wait()
             self.ready = True
@@ -183,7 +184,7 @@
     @property
     def idle(self) -> bool:
         """Nothing is owed to anyone."""
-        ending = len(self._pending_ends) or len(self._notices) or self._copies and self._copies.ends_waiting
+        ending = len(self._pending_ends) or len(self._notices) or self._replicator and self._replicator.ends_waiting
         return not self._open and not ending
 
     def submit(self, told: Submission) -> int | Refusal:
@@ -213,9 +214,9 @@
         room = len(self._open) < self._config.settings.open_cap and self._engine.has_room()
         if not room or not self._journal.has_room(len(told.body)):
             return Refusal.FULL
-        if told.reply and (known := self._memory.recall(told.id)):
+        if told.reply and (known := self._call_history.recall(told.id)):
             return self._submit_again(known, told)
-        if self._copies and not told.reply and (why := self._copies.refuses(told.class_index, told.id)):
+        if self._replicator and not told.reply and (why := self._replicator.refuses(told.class_index, told.id)):
             return why
         number = self._journal.next_number
         longest = to_ms(self._config.settings.classes[told.class_index].deadline)
@@ -227,14 +228,14 @@
         )
         if self._tracer:
             entry.trace = self._tracer.submission_received(entry, told.headers, now, told.handed_in_again)
-        if self._copies:
-            self._copies.opening(entry)
+        if self._replicator:
+            self._replicator.opening(entry)
         try:
             self._journal.record_accepted(entry)
         except JournalFull as err:
             logger.error("journal: {}", err)
-            if self._copies:
-                self._copies.abandoned(number)
+            if self._replicator:
+                self._replicator.abandoned(number)
             if self._tracer:
                 self._tracer.withdrawn(number)
             return Refusal.FULL
@@ -254,7 +255,7 @@
             told.key,
         ):
             return Refusal.TAKEN  # another message under its id
-        self._memory.forget(told.id)
+        self._call_history.forget(told.id)
         longest = to_ms(self._config.settings.classes[told.class_index].deadline)
         entry.deadline = self._clock.now() + min(max(told.time_left, 0.0), longest)
         entry.body = told.body
@@ -307,7 +308,7 @@
             window = to_ms(max(cls.window, 0))
         if self._tracer:
             self._tracer.closed(entry.number)
-        for number in self._memory.keep(entry, window, self._clock.now()):
+        for number in self._call_history.remember(entry, window, self._clock.now()):
             self._closed(number)
 
     def deliver_by(self, protocol: int, delivery: Delivery) -> None:
@@ -367,8 +368,8 @@
                 logger.bind(event="notes.unread", count=unread).warning(
                     "{} notes from other relays could not be read and were left out", unread
                 )
-            memory, news = self._state_cache, self._open or self.changed_since_saved
-            if memory and self.ready and news and memory.due(self._clock.now()):
+            state_cache, news = self._state_cache, self._open or self.changed_since_saved
+            if state_cache and self.ready and news and state_cache.due(self._clock.now()):
                 self.save_state()
 
     def save_state(self) -> None:
@@ -458,7 +459,7 @@
         )
         alone = self._config.settings.second_copies or not message.calls
         made = self.invariants.holds(Invariant.ONE_ATTEMPT_OUT, alone, entry.id)
-        if made and self._copies and self._copies.is_copied(entry.number):
+        if made and self._replicator and self._replicator.is_copied(entry.number):
             made = self._written(message, number, action)
         if not made:
             self._settled(message, number, action.endpoint, Result(i.Outcome.MOOT))
@@ -486,7 +487,7 @@
             return False
         try:
             self._journal.record_attempt(entry.number, number, attempt.sent_at, attempt.zone)
-            if self._copies and self._copies.is_copied(entry.number):
+            if self._replicator and self._replicator.is_copied(entry.number):
                 attempt.until = min(attempt.sent_at + (to_ms(action.timeout) or math.inf), entry.deadline)
                 self._journal.record_attempt_deadline(entry.number, number, attempt.until)
         except JournalFull as err:
@@ -507,7 +508,9 @@
         marks: AttemptFacts | None,
     ) -> None:
         entry, result = message.entry, Result(i.Outcome.MOOT)
-        if self._copies and not await self._copies.until_safe(entry.number, (to_ms(action.timeout) or 1e4) / 1e3):
+        if self._replicator and not await self._replicator.until_safe(
+            entry.number, (to_ms(action.timeout) or 1e4) / 1e3
+        ):
             self._settled(message, attempt, action.endpoint, result)  # nobody may know of it: it was not made
             return
         await self._until_disk_takes(message, attempt, action)
@@ -539,8 +542,8 @@
             now = self._clock.now()
             self._waits = {route: until for route, until in self._waits.items() if until > now}
             self._waits[self._route(member.listed)] = now + result.wait
-            if self._copies:
-                self._copies.waited(self._route(member.listed), now + result.wait)
+            if self._replicator:
+                self._replicator.record_wait(self._route(member.listed), now + result.wait)
         self._settled(message, attempt, action.endpoint, result)
 
     async def _until_disk_takes(self, message: _Open, attempt: int, action: i.Send) -> None:
@@ -567,7 +570,7 @@
             return False
         if not self._journal.may_act():  # this process stood still, and a later life has its work
             return False
-        if self._copies and not self._copies.may_act(action.message):  # and another relay may have it by now
+        if self._replicator and not self._replicator.may_act(action.message):  # and another relay may have it by now
             return False
         ready = told is not None and told.listed.phase is i.Phase.READY and told.address == member.address
         remembered = not action.not_after or to_micros(now) < action.not_after
@@ -651,8 +654,8 @@
             logger.error("journal: {}", err)
 
     def _send_notice(self, notice: Notice) -> None:
-        if self._copies:  # a successor that does not know of the end would come to another
-            self._copies.when_safe(notice.number, lambda: self._notices.add(notice))
+        if self._replicator:  # a successor that does not know of the end would come to another
+            self._replicator.when_safe(notice.number, lambda: self._notices.add(notice))
         else:
             self._notices.add(notice)
 
@@ -682,10 +685,10 @@
     def _read_known(self) -> None:
         """The list of the configuration, or a newer one that an earlier life stored."""
         lists = [(self._config.known, "the configuration")]
-        if memory := self._state_cache:
+        if state_cache := self._state_cache:
             revision = self._config.known.get("revision", -1) if self._config.known else -1
-            memory.read(self._clock.now(), str(self._config.discovery), revision if type(revision) is int else -1)
-            if (told := memory.validated) and told.members:
+            state_cache.read(self._clock.now(), str(self._config.discovery), revision if type(revision) is int else -1)
+            if (told := state_cache.validated) and told.members:
                 stored = {"revision": told.revision, "complete": True, "members": list(told.members)}
                 lists.insert(0, (stored, "an earlier life"))
         for known, whose in lists:
@@ -703,13 +706,13 @@
     def _recover(self) -> None:
         """Tell the decisions what an earlier life left open, and send the notices that it still owes."""
         now, entries = self._clock.now(), list(self._journal.entries.values())
-        if memory := self._state_cache:
-            memory.correct_entries(entries)
-            if recalled := memory.restored_state(self._directory.number, now):
+        if state_cache := self._state_cache:
+            state_cache.correct_entries(entries)
+            if recalled := state_cache.restored_state(self._directory.number, now):
                 self.feed(recalled)
         self._log_damage()
-        if self._copies:  # whose those are the store has to say
-            self._covered = {entry.number: entry for entry in entries if self._copies.covers(entry)}
+        if self._replicator:  # whose those are the store has to say
+            self._covered = {entry.number: entry for entry in entries if self._replicator.covers(entry)}
             entries = [entry for entry in entries if entry.number not in self._covered]
         self._journal.entries.clear()
         arrived = self._adopted_events(entries)
@@ -753,19 +756,19 @@
     # Copies of this relay's work, and work of others.
 
     def _may_end(self) -> bool:
-        return self._journal.may_act() and (self._copies is None or self._copies.may_end())
+        return self._journal.may_act() and (self._replicator is None or self._replicator.may_end())
 
-    async def _begin_copies(self) -> None:
+    async def _begin_replication(self) -> None:
         """Once the store has told whose the folder's copied messages are, go on with those that are this relay's."""
-        assert self._copies
-        lost = await self._copies.begin(self._covered)
+        assert self._replicator
+        lost = await self._replicator.begin(self._covered)
         for number in lost:
             self._covered.pop(number)
             self._closed(number)
         for entry in self._covered.values():
             if entry.origin and not entry.origin.confirmed:
                 self._confirmed(entry)
-            self._copies.opening(entry)
+            self._replicator.opening(entry)
         arrived = self._adopted_events(list(self._covered.values()))
         if self._covered:
             logger.info("from the journal, once the fleet was asked: {} messages", len(arrived))
@@ -783,14 +786,14 @@
 
     def adopt(self, entries: Sequence[Entry]) -> list[int]:
         """Journal messages of another relay under numbers of this one's; nothing is done with them yet."""
-        assert self._copies
+        assert self._replicator
         numbers = []
         for told in entries:
             if told.id in self._by_id or told.class_name not in self._config.names.classes:
                 logger.warning("message {} of another relay is left out: it is here already, or of no class", told.id)
                 continue
             entry = replace(told, number=self._journal.next_number)
-            self._copies.opening(entry)
+            self._replicator.opening(entry)
             try:
                 self._journal.record_complete(entry)
             except JournalFull as err:  # it is owed its end all the same, and this process knows it
@@ -856,7 +859,7 @@
         self.letting_go = True
         out = 0
         for number, message in list(self._open.items()):
-            if not (self._copies and self._copies.is_copied(number)):
+            if not (self._replicator and self._replicator.is_copied(number)):
                 continue
             if message.calls:
                 out += 1
@@ -868,17 +871,17 @@
     def _lets_go(self, message: _Open) -> bool:
         """Its attempt is over and it is not: another relay goes on with it."""
         number = message.entry.number
-        if self.letting_go and self._copies and self._copies.is_copied(number) and not message.calls:
+        if self.letting_go and self._replicator and self._replicator.is_copied(number) and not message.calls:
             self._forget(number)
             return True
         return False
 
     async def replicated(self, number: int) -> bool:
         """Before a client is told that its message is taken on: whether it is copied as its class asks."""
-        return self._copies is None or await self._copies.until_taken_on(number, _COPIED_S)
+        return self._replicator is None or await self._replicator.until_accepted(number, _COPIED_S)
 
     def awaits_replication(self, number: int) -> bool:
-        return self._copies is not None and not self._copies.may_be_taken_on(number)
+        return self._replicator is not None and not self._replicator.may_be_accepted(number)
 
     def _doubt(self, entry: Entry) -> None:
         """What is missing of an earlier life's records may have run; what cannot be delivered is ended."""
@@ -937,7 +940,7 @@
         message before its time is up, so this finds none unless they broke."""
         while True:
             await anyio.sleep(_OVERDUE_MS / 1e3)
-            for number in self._memory.expired(self._clock.now()):
+            for number in self._call_history.expired(self._clock.now()):
                 self._closed(number)
             overdue = self._clock.now() - _OVERDUE_MS
             for number in [n for n, open_ in self._open.items() if open_.entry.deadline < overdue]:
--- a/calicohitch/recovery/cached_state.py
+++ b/calicohitch/recovery/cached_state.py
@@ -41,7 +41,7 @@
     limit: float = 0.0
     times: float = 1.0
     came: float = 0.0
-    sick: bool = False
+    failing: bool = False
     cold_since: float = 0.0
     wait_until: float = 0.0
 
@@ -90,7 +90,7 @@
                 round(r.limit, 3),
                 round(r.times, 4),
                 round(r.came, 4),
-                int(r.sick),
+                int(r.failing),
                 round(r.cold_since),
                 round(r.wait_until),
             ]
@@ -140,14 +140,14 @@
 def _route(item: Any) -> KnownRoute | None:
     """One that says what cannot be is left out alone."""
     try:
-        dest, endpoint, limit, times, came, sick, cold, wait = item
+        dest, endpoint, limit, times, came, failing, cold, wait = item
         return KnownRoute(
             int(dest),
             str(endpoint),
             _number(limit, _LARGEST),
             _number(times, 100.0),
             _number(came, _LARGEST),
-            bool(sick),
+            bool(failing),
             _number(cold, 1e15),
             _number(wait, 1e15),
         )
@@ -189,7 +189,7 @@
             route.limit if fresh else 0.0,
             route.times if fresh else 1.0,
             route.came if fresh else 0.0,
-            route.sick and healthy,
+            route.failing and healthy,
             cold,
             wait if wait > now.wall else 0.0,
         )
@@ -197,7 +197,7 @@
             routes.append(kept)
     for part, limit_ms, there in (
         ("limits", LIMIT_MS, any(r.limit for r in beliefs.routes)),
-        ("health", HEALTH_MS, any(r.sick or r.cold_since for r in beliefs.routes)),
+        ("health", HEALTH_MS, any(r.failing or r.cold_since for r in beliefs.routes)),
         ("on-time shares", SHARE_MS, bool(beliefs.on_time)),
     ):
         if there and age > limit_ms:
--- a/calicohitch/recovery/state_cache.py
+++ b/calicohitch/recovery/state_cache.py
@@ -95,7 +95,7 @@
                     route.dest,
                     endpoint,
                     (route.limit, route.times, route.came),
-                    route.sick,
+                    route.failing,
                     to_micros(route.cold_since) if route.cold_since else -1,
                     to_micros(route.wait_until),
                 )
@@ -123,12 +123,12 @@
                 was.dest,
                 name(was.endpoint) if was.endpoint is not None else "",
                 *was.share,
-                was.sick,
+                was.failing,
                 max(0.0, to_ms(was.cold_at)),
                 to_ms(was.wait_until),
             )
             for was in known.routes
-            if was.share != _NO_SHARE or was.sick or was.cold_at > 0 or was.wait_until
+            if was.share != _NO_SHARE or was.failing or was.cold_at > 0 or was.wait_until
         )
         on_time = dict(zip(self._classes, known.on_time, strict=True))
         told = cached_state.CachedState(
--- a/calicohitch/service.py
+++ b/calicohitch/service.py
@@ -83,8 +83,8 @@
     journal = await _journal(config, clock, lease, operator.recovery.folder_wait_ms / 1e3)
     tracer = _tracer(config, clock, operator)
     grpc = operator.grpc
-    takeover = _takeover(config, clock, operator, lease, journal)
-    memory = StateCache(config.state, lease.incarnation, config.names.classes, operator.recovery.waits_outlast)
+    failover = _failover_manager(config, clock, operator, lease, journal)
+    state_cache = StateCache(config.state, lease.incarnation, config.names.classes, operator.recovery.waits_outlast)
     if grpc:  # its connections, on both sides, take part in the one limit of descriptors
         relay = Relay(
             config,
@@ -93,12 +93,12 @@
             tracer,
             grpc.speaks,
             2 * (config.limits.sockets // 8),
-            memory=memory,
+            state_cache=state_cache,
             up_at=up_at,
-            copies=takeover,
+            replicator=failover,
         )
     else:
-        relay = Relay(config, clock, journal, tracer, memory=memory, up_at=up_at, copies=takeover)
+        relay = Relay(config, clock, journal, tracer, state_cache=state_cache, up_at=up_at, replicator=failover)
     admission = operator.clients or AdmissionSettings()
     wait_s = operator.recovery.folder_wait_ms / 1e3
     with await _listening(config.listen, admission.backlog, wait_s) as listener, ExitStack() as stack:
@@ -108,8 +108,8 @@
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(_hold, lease, tasks.cancel_scope)
-                if takeover:
-                    takeover.on_ended = tasks.cancel_scope.cancel
+                if failover:
+                    failover.on_ended = tasks.cancel_scope.cancel
                 tasks.start_soon(relay.run)
                 tasks.start_soon(clients.run)
                 if calls:
@@ -122,8 +122,8 @@
                     await calls.drain()
                 await anyio.sleep(_SETTLE_S)
                 clients.close_kept()
-                if takeover and operator.fleet and operator.fleet.hand_over:
-                    await _handed_over(relay, takeover)
+                if failover and operator.fleet and operator.fleet.hand_over:
+                    await _handed_over(relay, failover)
                 while clients.answering or not relay.idle or calls and calls.open_calls:
                     await anyio.sleep(0.05)
                 await clients.finish()
@@ -135,11 +135,11 @@
             relay.close()
             if tracer:
                 tracer.close()
-            if takeover:
+            if failover:
                 with anyio.CancelScope(shield=True):
-                    await takeover.close()
-    if takeover and takeover.ended:
-        raise takeover.ended
+                    await failover.close()
+    if failover and failover.ended:
+        raise failover.ended
 
 
 async def _journal(config: Config, clock: Clock, lease: FolderLease, wait_s: float) -> Journal:
@@ -179,13 +179,13 @@
         await anyio.sleep(_AGAIN_S)
 
 
-async def _handed_over(relay: Relay, takeover: FailoverManager) -> None:
+async def _handed_over(relay: Relay, failover: FailoverManager) -> None:
     """Give copied work to those who hold copies, before the lease goes: what is out ends first, for a while."""
-    takeover.stop_taking()
+    failover.stop_accepting()
     with anyio.move_on_after(_HAND_OVER_S):
         while relay.release_copied():
             await anyio.sleep(0.02)
-    await takeover.hand_over(_HAND_OVER_S)
+    await failover.hand_over(_HAND_OVER_S)
 
 
 async def _hold(lease: FolderLease, everything: anyio.CancelScope) -> None:
@@ -223,7 +223,7 @@
     return GrpcIntake(relay, settings, config.settings.classes, listener, clock)
 
 
-def _takeover(
+def _failover_manager(
     config: Config, clock: Clock, operator: Operator, lease: FolderLease, journal: Journal
 ) -> FailoverManager | None:
     """Copies and the fleet, where the operators' file has it."""
--- a/tests/failover/model.py
+++ b/tests/failover/model.py
@@ -16,7 +16,7 @@
 from calicohitch.failover import frames
 from calicohitch.failover.choice import chosen
 from calicohitch.failover.claims import Claims
-from calicohitch.failover.copying import Replication, Link
+from calicohitch.failover.replication import Replication, Link
 
 PARTS, TTL = 2, 1_000.0
 LATE = 200.0  # what a holder may leave unacknowledged
@@ -40,7 +40,7 @@
 
     messages: dict[str, Message] = field(default_factory=dict)
     kept: Kept = Kept()
-    holdings: dict[tuple[str, int], Held] = field(default_factory=dict)
+    replicas: dict[tuple[str, int], Held] = field(default_factory=dict)
 
 
 @dataclass
@@ -95,7 +95,7 @@
         self.deaf: set[str] = set()  # the answer to the next transaction is lost
         self.acted: dict[str, list[tuple[str, int, int]]] = {}  # id -> relay, life, attempts known before
         self.incarnations = 0
-        self.holdings = 0
+        self.replicas = 0
         self.saved = self.store.copied()
 
     def begin(self, name: str) -> None:
@@ -114,10 +114,10 @@
         self.disk = world.disks[name]
         self.roster = Roster(KEYS)
         self.term = LeaseTerm(TTL, 50.0)
-        self.proof = LeaseValidity(self.term)
-        self.tenure = Ownership(KEYS, name, PARTS, Member(0, incarnation, name))
+        self.validity = LeaseValidity(self.term)
+        self.ownership = Ownership(KEYS, name, PARTS, Member(0, incarnation, name))
         self.claims = Claims(name, self.term, 0.0, self.now())
-        self.copying = Replication(PARTS, world.copies)
+        self.replication = Replication(PARTS, world.copies)
         self.wires: dict[str, Wire] = {}
         self.pending: tuple | None = None
         self.lease = 0
@@ -138,14 +138,16 @@
         if not self.reach():
             return False
         seen = self.world.store.read_now(KEYS.prefix)
-        back = self.roster.went_back(seen, self.roster.revision)
+        back = self.roster.store_rollbacks(seen, self.roster.revision)
         before = self.roster.generation
         self.roster.replace(seen, self.now())
         if back and self.roster.generation in ("", before) or not self.roster.generation:
-            self.commit(self.tenure.generate(self.roster, f"g{self.world.incarnations}.{self.world.time}.{self.name}"))
+            self.commit(
+                self.ownership.generate(self.roster, f"g{self.world.incarnations}.{self.world.time}.{self.name}")
+            )
             self.roster.replace(self.world.store.read_now(KEYS.prefix), self.now())
-        if self.tenure.epoch and (why := self.tenure.look(self.roster)):
-            self.proof.passed, self.done = why, True
+        if self.ownership.epoch and (why := self.ownership.look(self.roster)):
+            self.validity.passed, self.done = why, True
         return True
 
     def commit(self, step: Step) -> bool | None:
@@ -162,7 +164,7 @@
     def turn(self) -> None:
         if self.done:
             return
-        if not self.tenure.epoch:
+        if not self.ownership.epoch:
             self._register()
             return
         self._renew()
@@ -172,21 +174,21 @@
         self._claim()
 
     def _register(self) -> None:
-        if not self.read() or self.tenure.taken_by(self.roster, self.disk.kept):
+        if not self.read() or self.ownership.taken_by(self.roster, self.disk.kept):
             return
         sent, self.lease = self.now(), self.world.store.grant_now(TTL)
         kept = self.disk.kept
-        epoch, step = self.tenure.register(self.roster, kept, self.lease)
+        epoch, step = self.ownership.register(self.roster, kept, self.lease)
         if not self.commit(step):
             return  # in doubt it registers again, with the next epoch
-        self.tenure.begun(epoch)
-        self.proof.renewed(sent)
+        self.ownership.begun(epoch)
+        self.validity.renewed(sent)
         self.read()
         if self.done:
             return
-        taken, resume = self.tenure.resume(self.roster, kept)
+        taken, resume = self.ownership.resume(self.roster, kept)
         if resume and not self.commit(resume):
-            self.tenure.epoch = 0
+            self.ownership.epoch = 0
             self.disk.kept = replace(kept)
             return
         self.disk.kept = Kept(epoch, False, self.roster.generation)
@@ -207,33 +209,33 @@
 
     def _open(self, message: Message) -> None:
         number = self.numbers[message.id] = len(self.numbers) + 1 + self.incarnation * 1_000
-        self.copying.open(number, part_of(message.id, PARTS), True, message.payloads)
+        self.replication.open(number, part_of(message.id, PARTS), True, message.payloads)
 
     def _renew(self) -> None:
         sent = self.now()
         if not self.reach():
             return
         seen = self.world.store.read_now(KEYS.member(self.name))
-        work = self.roster.works.get((self.name, self.tenure.epoch))
+        work = self.roster.works.get((self.name, self.ownership.epoch))
         stale = work is not None and work.generation != self.roster.generation
         there = any(item.lease == self.lease for item in seen.items)
         if seen.revision < self.roster.revision or stale or not there or not self.world.store.keep_now(self.lease):
-            self.proof.expired()
+            self.validity.expired()
             if not self.read() or self.done:
                 return
             self.lease = self.world.store.grant_now(TTL)
-            if self.commit(self.tenure.reassert(self.roster, self.lease)):
-                self.proof.renewed(sent)
-                self.disk.kept = Kept(self.tenure.epoch, self.disk.kept.published, self.roster.generation)
+            if self.commit(self.ownership.reassert(self.roster, self.lease)):
+                self.validity.renewed(sent)
+                self.disk.kept = Kept(self.ownership.epoch, self.disk.kept.published, self.roster.generation)
             self.read()
             return
-        self.proof.renewed(sent)
+        self.validity.renewed(sent)
         self.read()
 
     # Copies.
 
     def late(self, relay: str) -> bool:
-        link = self.copying.links.get(relay)
+        link = self.replication.links.get(relay)
         return link is None or link.oldest is not None and self.now() - link.oldest > LATE
 
     def _arrange(self) -> None:
@@ -242,9 +244,9 @@
         for relay in {relay for relays in wanted for relay in relays}:
             wire = self.wires.get(relay)
             if (wire is None or wire.closed) and relay in self.world.up:
-                self.wires[relay] = Wire(self, self.tenure.epoch, self.world.up[relay])
+                self.wires[relay] = Wire(self, self.ownership.epoch, self.world.up[relay])
                 self.wires[relay].down.append(
-                    frames.Hello(1, "model", self.name, self.tenure.epoch, PARTS, relay, self.now())
+                    frames.Hello(1, "model", self.name, self.ownership.epoch, PARTS, relay, self.now())
                 )
         for wire in self.wires.values():
             if not wire.closed and wire.link:
@@ -252,32 +254,32 @@
         if self.pending is not None:
             if self.read() and not self.done:
                 target, self.pending = self.pending, None
-                if self.tenure.shown(self.roster) == target:
+                if self.ownership.shown(self.roster) == target:
                     self._published(target)
                 else:
-                    self.copying.publishing(((),) * PARTS)
-                    self.tenure.published = self.copying.published
+                    self.replication.publishing(((),) * PARTS)
+                    self.ownership.published = self.replication.published
             return
-        target = self.copying.arrange(wanted, self.late, self.now())
-        if target != self.copying.published:
-            self.copying.publishing(target)
-            self.tenure.published = tuple(
-                tuple(dict.fromkeys(old + new)) for old, new in zip(self.copying.published, target, strict=True)
+        target = self.replication.arrange(wanted, self.late, self.now())
+        if target != self.replication.published:
+            self.replication.publishing(target)
+            self.ownership.published = tuple(
+                tuple(dict.fromkeys(old + new)) for old, new in zip(self.replication.published, target, strict=True)
             )
             self.disk.kept = replace(self.disk.kept, published=True)
-            done = self.commit(self.tenure.publish(self.roster, target))
+            done = self.commit(self.ownership.publish(self.roster, target))
             if done:
                 self._published(target)
             elif done is None:
                 self.pending = target
             else:
-                self.copying.publishing(((),) * PARTS)
-                self.tenure.published = self.copying.published
+                self.replication.publishing(((),) * PARTS)
+                self.ownership.published = self.replication.published
             self.read()
 
     def _published(self, target: tuple) -> None:
-        self.copying.publish(target, self.now())
-        self.tenure.published = target
+        self.replication.publish(target, self.now())
+        self.ownership.published = target
 
     def deliver(self, relay: str) -> None:
         """What is on the way on the link to a holder arrives, as far as the line is whole."""
@@ -285,7 +287,7 @@
         if wire is None or wire.closed:
             return
         holder = self.world.up.get(relay)
-        if holder is not wire.holder or wire.epoch != self.tenure.epoch:
+        if holder is not wire.holder or wire.epoch != self.ownership.epoch:
             self._close(wire)  # the other end died
             return
         if relay in self.world.still or self.name in self.world.still:
@@ -296,23 +298,23 @@
             while wire.up and not wire.closed:
                 ack = wire.up.popleft()
                 if wire.link is None:
-                    held = holder.disk.holdings.get((self.name, self.tenure.epoch))
+                    held = holder.disk.replicas.get((self.name, self.ownership.epoch))
                     if held is None:
                         self._close(wire)
                         return
                     wire.link = Link(relay, held.name, lambda frame: wire.down.append(frame) or True, self.now())
-                    self.copying.came_up(wire.link)
-                self.copying.acked(wire.link, ack.seq, self.now())
-                self.proof.heard(relay, ack.heard)
+                    self.replication.came_up(wire.link)
+                self.replication.acked(wire.link, ack.seq, self.now())
+                self.validity.acknowledged(relay, ack.heard)
 
     def _close(self, wire: Wire) -> None:
         wire.closed = True
         if wire.link:
-            self.copying.went_down(wire.holder.name, wire.link)
+            self.replication.went_down(wire.holder.name, wire.link)
 
     def come(self, wire: Wire) -> None:
         """At the holder: write what came, and acknowledge it."""
-        if not wire.down or not self.tenure.epoch:
+        if not wire.down or not self.ownership.epoch:
             return
         at = wire.owner.name, wire.epoch
         if wire.epoch < self.roster.epochs.get(wire.owner.name, 0) or self.claims.denies(self.roster, *at):
@@ -322,14 +324,14 @@
         while wire.down:
             frame = wire.down.popleft()
             if isinstance(frame, frames.Hello):
-                if at not in self.disk.holdings:
-                    self.world.holdings += 1
-                    self.disk.holdings[at] = Held(f"h{self.world.holdings}")
+                if at not in self.disk.replicas:
+                    self.world.replicas += 1
+                    self.disk.replicas[at] = Held(f"h{self.world.replicas}")
                 heard = frame.sent
             elif isinstance(frame, frames.Beat):
                 heard = max(heard, frame.sent)
             else:
-                self.disk.holdings[at].take(frame)
+                self.disk.replicas[at].take(frame)
                 seq = frame.seq
         self.claims.heard(*at, self.now())
         wire.up.append(frames.Ack(seq, heard, self.now()))
@@ -338,22 +340,26 @@
 
     def take(self, wire_id: str) -> None:
         part = part_of(wire_id, PARTS)
-        holders = self.copying.required(part)
-        if self.done or not self.tenure.epoch or not self.proof.holds(self.now(), (one.relay for one in holders)):
+        holders = self.replication.required(part)
+        if self.done or not self.ownership.epoch or not self.validity.holds(self.now(), (one.relay for one in holders)):
             return
         message = self.mine[wire_id] = self.disk.messages[wire_id] = Message(wire_id)
         self._open(message)
-        self.copying.record(self.numbers[wire_id], message.payloads()[0], self.now())
+        self.replication.record(self.numbers[wire_id], message.payloads()[0], self.now())
 
     def mark(self, wire_id: str) -> None:
         """Record the next attempt; `act` makes it, once that is safe."""
         message = self.mine[wire_id]
         message.attempts += 1
-        self.copying.record(self.numbers[wire_id], message.payloads()[-1], self.now())
+        self.replication.record(self.numbers[wire_id], message.payloads()[-1], self.now())
 
     def may_act(self, wire_id: str) -> bool:
-        holders = (one.relay for one in self.copying.required(part_of(wire_id, PARTS)))
-        return not self.done and self.copying.is_safe(self.numbers[wire_id]) and self.proof.holds(self.now(), holders)
+        holders = (one.relay for one in self.replication.required(part_of(wire_id, PARTS)))
+        return (
+            not self.done
+            and self.replication.is_safe(self.numbers[wire_id])
+            and self.validity.holds(self.now(), holders)
+        )
 
     def act(self, wire_id: str) -> None:
         """The attempt's first byte, if it may leave."""
@@ -364,19 +370,19 @@
     # Others' work.
 
     def _claim(self) -> None:
-        names = {at: held.name for at, held in self.disk.holdings.items()}
-        for owner, epoch in list(self.disk.holdings):
+        names = {at: held.name for at, held in self.disk.replicas.items()}
+        for owner, epoch in list(self.disk.replicas):
             if any(at[:2] == (owner, epoch) for at in self.adopting):
                 continue
             due, _ = self.claims.parts_due(self.roster, owner, epoch, self.now(), names)
             done: bool | None = False
             if due:
                 self.claims.claiming(owner, epoch)
-                done = self.commit(self.claims.claim(self.roster, owner, epoch, due, self.tenure.epoch, self.lease))
+                done = self.commit(self.claims.claim(self.roster, owner, epoch, due, self.ownership.epoch, self.lease))
                 if done is False:
                     self.claims.not_claimed(owner, epoch)
             if done:
-                held = self.disk.holdings[owner, epoch]
+                held = self.disk.replicas[owner, epoch]
                 taken = [
                     Message(wire_id, attempts, (owner, epoch, part_of(wire_id, PARTS)))
                     for wire_id, (attempts, origin) in sorted(held.known.items())
@@ -387,7 +393,7 @@
                     self.disk.messages[message.id] = message
                     self._open(message)
                     for payload in message.payloads():
-                        self.copying.record(self.numbers[message.id], payload, self.now())
+                        self.replication.record(self.numbers[message.id], payload, self.now())
                 self.adopting.append((owner, epoch, due, taken))
             self.read()
             if self.done:
@@ -396,28 +402,28 @@
             self._adopt(*adopting)
 
     def _adopt(self, owner: str, epoch: int, parts: list[int], taken: list[Message]) -> None:
-        mine = FailoverClaim(self.name, self.tenure.epoch)
+        mine = FailoverClaim(self.name, self.ownership.epoch)
         if not self.reach():
             return
         told = [self.roster.claims.get((owner, epoch, part)) for part in parts]
         sure = all(claim == replace_adopted(mine) for claim in told)
         if not sure and all(claim == mine for claim in told):
-            if not all(self.copying.is_safe(self.numbers[message.id]) for message in taken):
+            if not all(self.replication.is_safe(self.numbers[message.id]) for message in taken):
                 return
-            sure = bool(self.commit(self.claims.adopted(self.roster, owner, epoch, parts, self.tenure.epoch)))
+            sure = bool(self.commit(self.claims.adopted(self.roster, owner, epoch, parts, self.ownership.epoch)))
             if not sure:
                 return  # in doubt the store is read first
         elif not sure:
             self.adopting.remove((owner, epoch, parts, taken))
             for message in taken:
-                self.copying.abandon(self.numbers[message.id])
+                self.replication.abandon(self.numbers[message.id])
                 self.disk.messages.pop(message.id, None)
             return
         self.adopting.remove((owner, epoch, parts, taken))
         for message in taken:
             message.confirmed = True
             self.mine[message.id] = message
-            self.copying.record(self.numbers[message.id], message.payloads()[-1], self.now())
+            self.replication.record(self.numbers[message.id], message.payloads()[-1], self.now())
         self.read()
 
 
--- a/tests/failover/test_decisions.py
+++ b/tests/failover/test_decisions.py
@@ -32,8 +32,8 @@
 from calicohitch.failover import frames
 from calicohitch.failover.choice import chosen, ranked
 from calicohitch.failover.claims import STEP_MS, Claims
-from calicohitch.failover.copying import Replication, Link
-from calicohitch.failover.holdings import ReplicaStore, NoRoom
+from calicohitch.failover.replication import Replication, Link
+from calicohitch.failover.replica_store import ReplicaStore, NoRoom
 from calicohitch.failover.offsets import Offset
 
 KEYS = Keys("test")
@@ -43,19 +43,19 @@
 
 class Proofs(unittest.TestCase):
     def test_either_the_store_or_every_holder_proves_it(self) -> None:
-        proof = LeaseValidity(TERM)
-        self.assertFalse(proof.holds(0.0, ["r1"]))
-        self.assertTrue(proof.holds(0.0, []))  # nobody could claim it
-        proof.renewed(0.0)
-        self.assertTrue(proof.holds(879.0, ["r1", "r2"]))
-        self.assertFalse(proof.holds(880.0, ["r1", "r2"]))
-        proof.heard("r1", 500.0)
-        self.assertFalse(proof.holds(900.0, ["r1", "r2"]))
-        proof.heard("r2", 400.0)
-        self.assertTrue(proof.holds(1_279.0, ["r1", "r2"]))
-        self.assertFalse(proof.holds(1_281.0, ["r1", "r2"]))
-        proof.passed = "another has it"
-        self.assertFalse(proof.holds(900.0, []))
+        validity = LeaseValidity(TERM)
+        self.assertFalse(validity.holds(0.0, ["r1"]))
+        self.assertTrue(validity.holds(0.0, []))  # nobody could claim it
+        validity.renewed(0.0)
+        self.assertTrue(validity.holds(879.0, ["r1", "r2"]))
+        self.assertFalse(validity.holds(880.0, ["r1", "r2"]))
+        validity.acknowledged("r1", 500.0)
+        self.assertFalse(validity.holds(900.0, ["r1", "r2"]))
+        validity.acknowledged("r2", 400.0)
+        self.assertTrue(validity.holds(1_279.0, ["r1", "r2"]))
+        self.assertFalse(validity.holds(1_281.0, ["r1", "r2"]))
+        validity.passed = "another has it"
+        self.assertFalse(validity.holds(900.0, []))
 
     def test_a_holder_keeps_still_longer_than_is_believed_with_any_drift(self) -> None:
         for fast in (0.99, 1.01):
@@ -93,73 +93,75 @@
 
 class Replicator(unittest.TestCase):
     def setUp(self) -> None:
-        self.copying = Replication(2, 1)
+        self.replication = Replication(2, 1)
         self.sent: dict[str, list[frames.Frame]] = {"r1": [], "r2": []}
 
     def link(self, holder: ReplicaHolder) -> Link:
         link = Link(holder.relay, holder.holding, lambda frame: self.sent[holder.relay].append(frame) or True, 0.0)
-        self.copying.came_up(link)
+        self.replication.came_up(link)
         return link
 
     def test_a_holder_is_named_once_it_has_all_and_acts_wait_for_all_who_may_be_named(self) -> None:
-        self.copying.open(7, 0, True, lambda: [b"taken"])
+        self.replication.open(7, 0, True, lambda: [b"taken"])
         link = self.link(H1)
-        self.assertEqual(self.copying.arrange([["r1"], []], lambda _: False, 0.0), ((), ()))
+        self.assertEqual(self.replication.arrange([["r1"], []], lambda _: False, 0.0), ((), ()))
         self.assertEqual([type(frame).__name__ for frame in self.sent["r1"]], ["Begin", "Record", "Whole"])
-        self.copying.acked(link, 3, 0.0)
-        target = self.copying.arrange([["r1"], []], lambda _: False, 0.0)
+        self.replication.acked(link, 3, 0.0)
+        target = self.replication.arrange([["r1"], []], lambda _: False, 0.0)
         self.assertEqual(target, ((H1,), ()))
-        self.assertTrue(self.copying.is_safe(7))  # nobody may claim it yet
-        self.copying.publishing(target)  # from here on r1 may, whether the answer comes or not
-        self.copying.record(7, b"attempt", 1.0)
-        self.assertFalse(self.copying.is_safe(7))
-        self.copying.acked(link, 4, 1.0)
-        self.assertTrue(self.copying.is_safe(7))
-        self.copying.publish(target, 1.0)
-        self.copying.record(7, b"outcome", 2.0)
-        self.copying.went_down("r1", link)
-        self.assertFalse(self.copying.is_safe(7))  # it may claim, and has not said that it knows
+        self.assertTrue(self.replication.is_safe(7))  # nobody may claim it yet
+        self.replication.publishing(target)  # from here on r1 may, whether the answer comes or not
+        self.replication.record(7, b"attempt", 1.0)
+        self.assertFalse(self.replication.is_safe(7))
+        self.replication.acked(link, 4, 1.0)
+        self.assertTrue(self.replication.is_safe(7))
+        self.replication.publish(target, 1.0)
+        self.replication.record(7, b"outcome", 2.0)
+        self.replication.went_down("r1", link)
+        self.assertFalse(self.replication.is_safe(7))  # it may claim, and has not said that it knows
         other = self.link(H2)
-        self.assertEqual(self.copying.arrange([["r2"], []], lambda relay: False, 3.0), ((H1,), ()))
-        self.copying.acked(other, 99, 3.0)
-        self.assertEqual(self.copying.arrange([["r2"], []], lambda relay: relay == "r1", 3.0), ((H2,), ()))
+        self.assertEqual(self.replication.arrange([["r2"], []], lambda relay: False, 3.0), ((H1,), ()))
+        self.replication.acked(other, 99, 3.0)
+        self.assertEqual(self.replication.arrange([["r2"], []], lambda relay: relay == "r1", 3.0), ((H2,), ()))
 
     def test_one_that_lost_its_copies_does_not_count(self) -> None:
-        self.copying.open(7, 0, True, lambda: [b"taken"])
-        self.copying.publish(((H1,), ()), 0.0)
+        self.replication.open(7, 0, True, lambda: [b"taken"])
+        self.replication.publish(((H1,), ()), 0.0)
         again = self.link(ReplicaHolder("r1", "new"))
-        self.copying.give(again, 0, 0.0)
-        self.copying.acked(again, 99, 0.0)
-        self.copying.record(7, b"attempt", 0.0)
-        self.copying.acked(again, 99, 0.0)
-        self.assertFalse(self.copying.is_safe(7))
-        self.assertEqual(self.copying.arrange([["r1"], []], lambda _: False, 0.0), ((ReplicaHolder("r1", "new"),), ()))
+        self.replication.give(again, 0, 0.0)
+        self.replication.acked(again, 99, 0.0)
+        self.replication.record(7, b"attempt", 0.0)
+        self.replication.acked(again, 99, 0.0)
+        self.assertFalse(self.replication.is_safe(7))
+        self.assertEqual(
+            self.replication.arrange([["r1"], []], lambda _: False, 0.0), ((ReplicaHolder("r1", "new"),), ())
+        )
 
     def test_what_goes_behind_and_what_is_not_copied_waits_for_nothing(self) -> None:
-        self.copying.publish(((H1,), (H1,)), 0.0)
-        self.copying.open(7, 0, False, list)
-        self.copying.record(7, b"taken", 0.0)
-        self.assertTrue(self.copying.is_safe(7))
-        self.assertTrue(self.copying.is_safe(8))
+        self.replication.publish(((H1,), (H1,)), 0.0)
+        self.replication.open(7, 0, False, list)
+        self.replication.record(7, b"taken", 0.0)
+        self.assertTrue(self.replication.is_safe(7))
+        self.assertTrue(self.replication.is_safe(8))
 
     def test_a_message_is_taken_on_only_with_its_holders(self) -> None:
         self.link(H1).parts[0] = 0
-        self.copying.publish(((H1,), ()), 0.0)
-        self.copying.open(7, 0, True, list, needs=True)
-        self.assertTrue(self.copying.may_be_taken_on(7))
-        self.copying.publish(((), ()), 0.0)  # its holder was left out before its client was told
-        self.assertTrue(self.copying.is_safe(7))
-        self.assertFalse(self.copying.may_be_taken_on(7))
+        self.replication.publish(((H1,), ()), 0.0)
+        self.replication.open(7, 0, True, list, needs=True)
+        self.assertTrue(self.replication.may_be_accepted(7))
+        self.replication.publish(((), ()), 0.0)  # its holder was left out before its client was told
+        self.assertTrue(self.replication.is_safe(7))
+        self.assertFalse(self.replication.may_be_accepted(7))
 
     def test_a_full_buffer_ends_one_link_and_no_other(self) -> None:
-        self.copying.open(7, 0, True, list)
+        self.replication.open(7, 0, True, list)
         stuck = Link("r1", "x1", lambda frame: False, 0.0, parts={0: 0})
-        self.copying.came_up(stuck)
+        self.replication.came_up(stuck)
         other = self.link(H2)
         other.parts[0] = 0
-        self.copying.record(7, b"taken", 0.0)
-        self.assertEqual(list(self.copying.links), ["r2"])
-        self.assertEqual(self.copying.stuck, 1)
+        self.replication.record(7, b"taken", 0.0)
+        self.assertEqual(list(self.replication.links), ["r2"])
+        self.assertEqual(self.replication.stuck, 1)
         self.assertEqual(len(self.sent["r2"]), 1)
 
 
@@ -240,7 +242,7 @@
     def setUp(self) -> None:
         self.store = MemoryStore(lambda: 0.0)
         self.roster = Roster(KEYS)
-        self.tenure = Ownership(KEYS, "r0", 2, Member(0, 1, "h:1"))
+        self.ownership = Ownership(KEYS, "r0", 2, Member(0, 1, "h:1"))
         self.put(KEYS.generation, b"g")
 
     def put(self, key: str, value: bytes) -> None:
@@ -252,14 +254,14 @@
 
     def registered(self, kept: Kept | None = None) -> int:
         kept = kept or Kept()
-        epoch, step = self.tenure.register(self.roster, kept, 0)
+        epoch, step = self.ownership.register(self.roster, kept, 0)
         self.assertTrue(self.store.commit_now(step.conditions, step.ops))
-        self.tenure.begun(epoch)
+        self.ownership.begun(epoch)
         self.read()
         return epoch
 
     def resumed(self, kept: Kept) -> Taken:
-        taken, step = self.tenure.resume(self.roster, kept)
+        taken, step = self.ownership.resume(self.roster, kept)
         if step:
             self.assertTrue(self.store.commit_now(step.conditions, step.ops))
             self.read()
@@ -271,7 +273,7 @@
     def test_epochs_grow_whatever_is_known(self) -> None:
         self.assertEqual(self.registered(), 1)
         self.assertEqual(self.registered(Kept(7)), 8)
-        self.tenure = Ownership(KEYS, "r0", 2, Member(0, 2, "h:1"))
+        self.ownership = Ownership(KEYS, "r0", 2, Member(0, 2, "h:1"))
         self.assertEqual(self.registered(), 9)
 
     def test_a_folder_that_nobody_claimed_is_taken_up_whole(self) -> None:
@@ -302,12 +304,12 @@
     def test_a_tenure_is_passed_by_a_later_epoch_or_a_claim_and_not_by_a_lost_lease(self) -> None:
         self.registered()
         self.work(1)
-        self.assertEqual(self.tenure.look(self.roster), "")
+        self.assertEqual(self.ownership.look(self.roster), "")
         other = Ownership(KEYS, "r0", 2, Member(0, 5, "h:9"))
         epoch, step = other.register(self.roster, Kept(), 0)
         self.store.commit_now(step.conditions, step.ops)
         self.read()
-        self.assertIn("a later one has begun", self.tenure.look(self.roster))
+        self.assertIn("a later one has begun", self.ownership.look(self.roster))
 
     def test_another_of_its_name_is_seen_unless_it_has_this_folder(self) -> None:
         self.registered()
@@ -337,21 +339,21 @@
         return Entry(number, f"m{number}", "orders", 7, 50_000.0, "k", body, [Attempt(10_000.0, 0)])
 
     def test_what_is_held_outlasts_the_process_and_is_told_anew_without_a_gap(self) -> None:
-        holdings = ReplicaStore(self.folder, 1_000_000, lambda: 0.0)
-        held = holdings.open("r0", 3, 2)
+        replicas = ReplicaStore(self.folder, 1_000_000, lambda: 0.0)
+        held = replicas.open("r0", 3, 2)
         for number in (1, 2, 3, 4):
             for payload in payloads(self.entry(number)):
-                holdings.record(held, part_of(f"m{number}", 2), payload)
+                replicas.record(held, part_of(f"m{number}", 2), payload)
         name = held.name
-        holdings.close()
-        holdings = ReplicaStore(self.folder, 1_000_000, lambda: 0.0)
-        held = holdings.open("r0", 3, 2)
+        replicas.close()
+        replicas = ReplicaStore(self.folder, 1_000_000, lambda: 0.0)
+        held = replicas.open("r0", 3, 2)
         self.assertEqual((held.name, len(held)), (name, 4))
         part = part_of("m1", 2)
         others = [n for n in (1, 2, 3, 4) if part_of(f"m{n}", 2) != part]
         held.begin(part)
         for payload in payloads(self.entry(1)):
-            holdings.record(held, part, payload)
+            replicas.record(held, part, payload)
         held.whole(part)  # all else of the part is over
         held.offset.answered(100.0, 90.0, 110.0)  # its clock is at least 10 behind
         found = held.claimed([0, 1], 110.0, 0.0)
@@ -360,23 +362,23 @@
         self.assertEqual((first.deadline, first.attempts[0].sent_at, first.body), (50_010.0, 10_010.0, b"body"))
 
     def test_an_unknown_clock_is_taken_for_the_earliest_that_it_can_be(self) -> None:
-        holdings = ReplicaStore(self.folder, 1_000_000, lambda: 0.0)
-        held = holdings.open("r0", 3, 1)
+        replicas = ReplicaStore(self.folder, 1_000_000, lambda: 0.0)
+        held = replicas.open("r0", 3, 1)
         for payload in payloads(self.entry(1)):
-            holdings.record(held, 0, payload)
+            replicas.record(held, 0, payload)
         (found,) = held.claimed([0], 110.0, 700.0)
         self.assertEqual((found.deadline, found.attempts[0].sent_at), (49_300.0, 9_300.0))
 
     def test_past_the_bound_a_part_is_given_up_whole_and_not_claimed_from_here(self) -> None:
-        holdings = ReplicaStore(self.folder, 20_000, lambda: 0.0)
-        held = holdings.open("r0", 3, 1)
+        replicas = ReplicaStore(self.folder, 20_000, lambda: 0.0)
+        held = replicas.open("r0", 3, 1)
         with self.assertRaises(NoRoom):
             for number in range(100):
-                holdings.record(held, 0, payloads(self.entry(number, bytes(500)))[0])
-        self.assertLess(holdings.used(), 20_000)
+                replicas.record(held, 0, payloads(self.entry(number, bytes(500)))[0])
+        self.assertLess(replicas.used(), 20_000)
         held.give_up(0)
         self.assertEqual(len(held), 0)
-        holdings.close()
+        replicas.close()
         again = ReplicaStore(self.folder, 20_000, lambda: 0.0).open("r0", 3, 1)
         self.assertEqual(again.name, held.name)
         self.assertEqual(again.gave_up, {0})
--- a/tests/failover/test_membership.py
+++ b/tests/failover/test_membership.py
@@ -85,13 +85,13 @@
             self.store.late_s = 0.08  # below the time that is waited for an answer
             for _ in range(12):
                 tasks.start_soon(one.read)
-                await other.commit(other.tenure.publish(other.roster, [(), ()]))
+                await other.commit(other.ownership.publish(other.roster, [(), ()]))
                 self.store.late_s, late = 0.0, self.store.late_s
                 await other.read()
                 self.store.late_s = late
                 await anyio.sleep(0.03)
             tasks.cancel_scope.cancel()
-        self.assertEqual((one.went_back, other.went_back), (0, 0))
+        self.assertEqual((one.store_rollbacks, other.store_rollbacks), (0, 0))
 
     @in_loop
     async def test_a_lease_that_ended_early_is_taken_anew_in_the_same_epoch(self) -> None:
@@ -102,8 +102,8 @@
             await anyio.sleep(0.15)
             self.store.end_lease(one.lease)
             await anyio.sleep(0.4)
-            self.assertTrue(one.proof.holds(now(), ["x"]))
-            self.assertEqual((one.tenure.epoch, one.proof.passed), (1, ""))
+            self.assertTrue(one.validity.holds(now(), ["x"]))
+            self.assertEqual((one.ownership.epoch, one.validity.passed), (1, ""))
             tasks.cancel_scope.cancel()
 
     @in_loop
@@ -111,7 +111,7 @@
         one = self.member("r0")
         self.store.deaf = 2  # the generation, and the registration
         await one.begin()
-        self.assertTrue(one.tenure.is_mine(one.roster, one.lease))
+        self.assertTrue(one.ownership.is_mine(one.roster, one.lease))
         self.assertEqual(len([item for item in self.store.read_now(KEYS.prefix).items if "/member/" in item.key]), 1)
 
     @in_loop
@@ -122,10 +122,10 @@
             tasks.start_soon(one.run)
             self.store.down = True
             await anyio.sleep(0.75)
-            self.assertFalse(one.proof.holds(now(), ["x"]))
+            self.assertFalse(one.validity.holds(now(), ["x"]))
             self.store.down = False
             await anyio.sleep(0.5)
-            self.assertTrue(one.proof.holds(now(), ["x"]))
+            self.assertTrue(one.validity.holds(now(), ["x"]))
             tasks.cancel_scope.cancel()
 
     @in_loop
@@ -138,9 +138,9 @@
                 await self.member("r0", "elsewhere").begin()
             again = self.member("r0")  # a later life on the same folder
             await again.begin()
-            self.assertEqual(again.tenure.epoch, 2)
+            self.assertEqual(again.ownership.epoch, 2)
             await anyio.sleep(0.3)
-            self.assertIn("a later one has begun", one.proof.passed)
+            self.assertIn("a later one has begun", one.validity.passed)
             tasks.cancel_scope.cancel()
 
     @in_loop
@@ -150,7 +150,7 @@
         await one.begin()
         await other.begin()
         for _ in range(30):
-            await other.commit(other.tenure.publish(other.roster, [(), ()]))
+            await other.commit(other.ownership.publish(other.roster, [(), ()]))
             await other.read()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(one.run)
@@ -158,7 +158,7 @@
             self.store.put_back()
             await anyio.sleep(0.5)  # it registered again
             await other.read()
-            await other.commit(other.tenure.reassert(other.roster, 0))
+            await other.commit(other.ownership.reassert(other.roster, 0))
             await anyio.sleep(0.2)  # below the time of the next renewal's reading of all
             self.assertIn("r1", one.roster.members)
             tasks.cancel_scope.cancel()
@@ -177,9 +177,9 @@
             await anyio.sleep(0.8)
             self.assertEqual(one.roster.generation, other.roster.generation)
             self.assertNotEqual(one.roster.generation, before)
-            self.assertEqual((one.proof.passed, other.proof.passed), ("", ""))
-            self.assertTrue(one.proof.holds(now(), ["x"]) and other.proof.holds(now(), ["x"]))
-            self.assertEqual((one.tenure.epoch, other.tenure.epoch), (1, 1))
+            self.assertEqual((one.validity.passed, other.validity.passed), ("", ""))
+            self.assertTrue(one.validity.holds(now(), ["x"]) and other.validity.holds(now(), ["x"]))
+            self.assertEqual((one.ownership.epoch, other.ownership.epoch), (1, 1))
             tasks.cancel_scope.cancel()
 
 
--- a/tests/failover/test_model_mutants.py
+++ b/tests/failover/test_model_mutants.py
@@ -15,7 +15,7 @@
 from calicohitch.fleet.lease_validity import LeaseValidity, LeaseTerm
 from calicohitch.fleet.ownership import Taken, Ownership
 from calicohitch.failover.claims import Claims
-from calicohitch.failover.copying import Replication
+from calicohitch.failover.replication import Replication
 from failover.test_model import NAMES, STEPS, Schedule
 
 SEEDS = int(os.environ.get("MODEL_SEEDS", "25"))
--- a/tests/failover/test_store.py
+++ b/tests/failover/test_store.py
@@ -14,7 +14,7 @@
 from calicohitch.fleet.etcd_store import EtcdStore
 from calicohitch.fleet.memory_store import MemoryStore
 from calicohitch.fleet.store import Changed, Compacted, Delete, Put, Store, StoreError, Unless
-from parties.etcd import Etcd
+from fake_servers.etcd import Etcd
 
 Test = Callable[[Store, Any], Awaitable[None]]
 
--- a/tests/faults/test_holdings.py
+++ b/tests/faults/test_replica_store.py
@@ -13,7 +13,7 @@
 from unittest import mock
 
 from calicohitch.journal import Entry, Journal, payloads
-from calicohitch.failover.holdings import ReplicaStore, NoRoom
+from calicohitch.failover.replica_store import ReplicaStore, NoRoom
 
 OWNERS_TIME = 5e12
 
@@ -28,25 +28,25 @@
         self.addCleanup(made.cleanup)
         self.folder = Path(made.name) / "copies"
 
-    def holdings(self) -> ReplicaStore:
+    def replicas(self) -> ReplicaStore:
         found = ReplicaStore(self.folder, 1_000_000, lambda: 1_000.0)
         self.addCleanup(found.close)
         return found
 
     def held(self) -> ReplicaStore:
-        holdings = self.holdings()
-        holding = holdings.open("r1", 3, 4)
+        replicas = self.replicas()
+        replica_set = replicas.open("r1", 3, 4)
         for payload in payloads(entry()):
-            holdings.record(holding, 0, payload)
-        return holdings
+            replicas.record(replica_set, 0, payload)
+        return replicas
 
     def test_the_owners_times_stay_the_owners(self) -> None:
         """They are reckoned by what was measured between the two clocks, not by how this relay's was set."""
         self.held().close()
         real = time.time
         with mock.patch.object(time, "time", lambda: real() + 3_600.0):
-            (holding,) = self.holdings()
-            (found,) = holding.claimed(range(4), 1_000.0, 0.0)
+            (replica_set,) = self.replicas()
+            (found,) = replica_set.claimed(range(4), 1_000.0, 0.0)
         self.assertEqual(found.deadline, OWNERS_TIME)
 
     def test_copies_that_cannot_be_read_for_a_moment_are_kept(self) -> None:
@@ -60,19 +60,19 @@
             return real(path, *rest, **more)
 
         with mock.patch.object(io, "open", fails):
-            found = self.holdings()
-        self.assertEqual([len(holding) for holding in found], [1])
+            found = self.replicas()
+        self.assertEqual([len(replica_set) for replica_set in found], [1])
 
     def test_an_end_that_is_not_on_the_disk_is_not_acknowledged(self) -> None:
-        holdings = self.held()
-        holding = holdings.get("r1", 3)
-        assert holding
+        replicas = self.held()
+        replica_set = replicas.get("r1", 3)
+        assert replica_set
         closed = Journal._record(5, 7, b"")[8:]  # type: ignore[arg-type]
         with mock.patch.object(os, "write", side_effect=OSError(errno.EIO, "Input/output error")):
             with self.assertRaises(NoRoom):
-                holdings.record(holding, 0, closed)
-        holdings.record(holding, 0, closed)
-        self.assertFalse(holding.journal.is_open(7))
+                replicas.record(replica_set, 0, closed)
+        replicas.record(replica_set, 0, closed)
+        self.assertFalse(replica_set.journal.is_open(7))
 
 
 if __name__ == "__main__":
--- a/tests/faults/test_sockets.py
+++ b/tests/faults/test_sockets.py
@@ -195,13 +195,13 @@
         with Failing(plan):
             async with world.relay():
                 idle = await Link.connect(world.client)
-                await until(lambda: world.clients.seats.count == 1)
+                await until(lambda: world.clients.sessions.count == 1)
                 left[0] = 1
                 asking.append(True)
                 client = await Link.connect(world.client)
                 await client.send(MESSAGE % b"m0")
                 self.assertIn(b" 202 ", await answer_of(client))
-                self.assertEqual((left[0], world.clients.seats.count), (0, 2))
+                self.assertEqual((left[0], world.clients.sessions.count), (0, 2))
                 idle.close()
                 client.close()
 
--- a/tests/fleet/fleet_rig.py
+++ b/tests/fleet/fleet_rig.py
@@ -10,7 +10,7 @@
 from fleet.links import TcpLink
 from fleet.rig import Relay, Rig
 from fleet.standins import Destination
-from parties.etcd import Etcd
+from fake_servers.etcd import Etcd
 from ports import free_port
 
 TTL_S = 2.0
--- a/tests/fleet/test_takeovers.py
+++ b/tests/fleet/test_takeovers.py
@@ -15,7 +15,7 @@
 
 from calicohitch.commands.fleet import command
 from calicohitch.journal import Attempt, Entry, Journal, Origin
-from calicohitch.failover.holdings import ReplicaStore
+from calicohitch.failover.replica_store import ReplicaStore
 from calicohitch.failover.looking import traces
 
 PLAYED = {  # scenario -> seeds; the steps of a message's life and of a claim go by the seed
@@ -90,8 +90,8 @@
             journal.record_accepted(Entry(1, "m", "orders", 7, 5e12, "k", b"body", [Attempt(1.0, 0)]))
             journal.record_origin(1, Origin("r9", 4, 2))
             journal.record_closed(1)
-            holdings = ReplicaStore(folder / "copies", 1e6, lambda: 0.0)  # type: ignore[arg-type]
-            holdings.open("r/9", 4, 2)
+            replicas = ReplicaStore(folder / "copies", 1e6, lambda: 0.0)  # type: ignore[arg-type]
+            replicas.open("r/9", 4, 2)
             before = sorted((path, path.stat().st_mtime_ns) for path in folder.rglob("*"))
             (found,) = traces(folder, "m")
             self.assertEqual((found.closed, found.origin), (True, "r9 epoch 4 part 2, not adopted yet"))
--- a/tests/grpc_/test_codec.py
+++ b/tests/grpc_/test_codec.py
@@ -238,18 +238,18 @@
         def entry(number: int, deadline: float, *attempts: Attempt) -> Entry:
             return Entry(number, f"e{number}", "orders", 7, deadline, "k", b"x", list(attempts))
 
-        memory = CallHistory(2)
+        history = CallHistory(2)
         ran, never = Attempt(1_000.0, 0), Attempt(1_000.0, 0, may_have_run=False)
-        self.assertEqual(memory.keep(entry(1, 2_000.0, never), 6_000.0, 1_500.0), [1])
-        self.assertEqual(memory.keep(entry(2, 2_000.0, ran), 6_000.0, 1_500.0), [])
-        known = memory.recall("e2")
+        self.assertEqual(history.remember(entry(1, 2_000.0, never), 6_000.0, 1_500.0), [1])
+        self.assertEqual(history.remember(entry(2, 2_000.0, ran), 6_000.0, 1_500.0), [])
+        known = history.recall("e2")
         assert known
         self.assertEqual((known.number, known.body), (2, b""))
-        self.assertEqual((memory.expired(6_999.0), memory.expired(7_000.0)), ([], [2]))
-        self.assertIsNone(memory.recall("e2"))
-        self.assertEqual([memory.keep(entry(n, 9_000.0 + n, ran), 0.0, 0.0) for n in (3, 4, 5)], [[], [], [3]])
-        memory.forget("e4")
-        self.assertEqual((len(memory), memory.expired(99_999.0)), (1, [5]))
+        self.assertEqual((history.expired(6_999.0), history.expired(7_000.0)), ([], [2]))
+        self.assertIsNone(history.recall("e2"))
+        self.assertEqual([history.remember(entry(n, 9_000.0 + n, ran), 0.0, 0.0) for n in (3, 4, 5)], [[], [], [3]])
+        history.forget("e4")
+        self.assertEqual((len(history), history.expired(99_999.0)), (1, [5]))
 
     def test_health(self) -> None:
         for body, serving, said in (
--- a/tests/grpc_/test_mixed.py
+++ b/tests/grpc_/test_mixed.py
@@ -16,7 +16,7 @@
 from calicohitch.interface import Outcome, Send
 from calicohitch.net.discovery import Member
 from calicohitch.net.relay import Relay
-from parties.grpc_world import Client, Endpoint, grpc_relay
+from fake_servers.grpc_world import Client, Endpoint, grpc_relay
 from world import SETTINGS, World, member, play, until
 
 WIDE: dict[str, Any] = SETTINGS | {"family_info": {"call_slots": 12}, "caps": SETTINGS["caps"] | {"open_cap": 400}}
--- a/tests/grpc_/test_passing.py
+++ b/tests/grpc_/test_passing.py
@@ -9,7 +9,7 @@
 
 import anyio
 import grpc
-from parties.grpc_world import Client, Endpoint, echo, grpc_relay
+from fake_servers.grpc_world import Client, Endpoint, echo, grpc_relay
 from world import World, play, until
 
 from calicohitch.interface import Settled
--- a/tests/grpc_/test_rude.py
+++ b/tests/grpc_/test_rude.py
@@ -14,8 +14,8 @@
 import grpc
 import h2.connection
 import h2.events
-from parties.grpc_world import Client, Endpoint, echo, grpc_relay
-from parties.raw_http2 import RawClient, RawServer, raw_frame
+from fake_servers.grpc_world import Client, Endpoint, echo, grpc_relay
+from fake_servers.raw_http2 import RawClient, RawServer, raw_frame
 from ports import free_port
 from test_process import Program, ending, exit_code
 from world import LIMIT, SETTINGS, World, member, play, until
--- a/tests/intake/test_admission.py
+++ b/tests/intake/test_admission.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from calicohitch.intake.admission.keeping import Keeping
+from calicohitch.intake.admission.keep_alive import KeepAlivePolicy
 from calicohitch.core.descriptor_budget import DescriptorUse, DescriptorBudget, divide_descriptors
 from calicohitch.intake.admission.load import Load, LoadLimits
 from calicohitch.intake.admission.queue import FairQueue
@@ -165,14 +165,14 @@
 
 class Kept(unittest.TestCase):
     def test_connections_are_kept_while_that_pays_or_there_is_room(self) -> None:
-        keeping = Keeping()
-        self.assertTrue(keeping.keep(190, 192))
+        policy = KeepAlivePolicy()
+        self.assertTrue(policy.allows(190, 192))
         for _ in range(40):
-            keeping.did_not()
-        self.assertEqual((keeping.keep(96, 192), keeping.keep(95, 192)), (False, True))
+            policy.not_used_again()
+        self.assertEqual((policy.allows(96, 192), policy.keep(95, 192)), (False, True))
         for _ in range(20):
-            keeping.came_again()
-        self.assertTrue(keeping.keep(190, 192))
+            policy.was_used_again()
+        self.assertTrue(policy.allows(190, 192))
 
 
 if __name__ == "__main__":
--- a/tests/intake/test_clients.py
+++ b/tests/intake/test_clients.py
@@ -93,7 +93,7 @@
                 sock = connect(world, "127.0.0.2")
                 self.assertEqual((await ask(sock, f"g{n}"))[:12], b"HTTP/1.1 202")
                 script.append(sock)
-            self.assertLessEqual(world.clients.seats.count, 40)
+            self.assertLessEqual(world.clients.sessions.count, 40)
             for sock in script:
                 sock.close()
 
--- a/tests/orders/test_list.py
+++ b/tests/orders/test_list.py
@@ -17,7 +17,7 @@
 from calicohitch.core.discovery_timeouts import WATCH_MS, DiscoveryTimeouts
 from calicohitch.interface import Phase
 from calicohitch.net.discovery import Directory, ListError
-from calicohitch.net.http import KeptConnection, Moved
+from calicohitch.net.http import PersistentConnection, Moved
 
 FLEETS = (1, 2, 3, 5, 40, 99, 100, 200, 1_000)
 TOLD_S = 6.0  # what a silent watch holds back counts as told so long after the silence began
@@ -29,11 +29,11 @@
 
     def asked_after(self, pushed: bool, couriers: int, seed: int, silent: int) -> float:
         """A watch is asked just as the silence begins; so many connections in all are met by it."""
-        patience = DiscoveryTimeouts(not pushed, Backoff(couriers, seed))
+        timeouts = DiscoveryTimeouts(not pushed, Backoff(couriers, seed))
         now = 0.0
         for _ in range(silent):
-            now += patience.limit_s(patience.wait_ms(at_once=False))
-            now += patience.pause_s(silent=True)
+            now += timeouts.limit_s(timeouts.wait_ms(at_once=False))
+            now += timeouts.pause_s(silent=True)
         return now
 
     def test_a_pushed_list_is_asked_for_in_time_though_further_connections_are_silent(self) -> None:
@@ -49,16 +49,16 @@
 
     def test_in_a_silence_that_lasts_an_agent_is_never_left_alone_for_long(self) -> None:
         for couriers in FLEETS:
-            patience = DiscoveryTimeouts(False, Backoff(couriers, couriers))
+            timeouts = DiscoveryTimeouts(False, Backoff(couriers, couriers))
             for _ in range(100):
-                self.assertLessEqual(patience.pause_s(silent=True), 0.2)
-                self.assertLessEqual(patience.limit_s(patience.wait_ms(at_once=False)), 0.8)
+                self.assertLessEqual(timeouts.pause_s(silent=True), 0.2)
+                self.assertLessEqual(timeouts.limit_s(timeouts.wait_ms(at_once=False)), 0.8)
 
     def test_who_was_answered_waits_for_news_again(self) -> None:
-        patience = DiscoveryTimeouts(False, Backoff(3, 1))
-        patience.pause_s(silent=True)
-        patience.answered()
-        self.assertEqual(patience.wait_ms(at_once=False), WATCH_MS)
+        timeouts = DiscoveryTimeouts(False, Backoff(3, 1))
+        timeouts.pause_s(silent=True)
+        timeouts.answered()
+        self.assertEqual(timeouts.wait_ms(at_once=False), WATCH_MS)
 
     @in_world
     async def test_a_watch_that_falls_silent_is_opened_anew_in_a_fleet_of_two_hundred(self, world: World) -> None:
@@ -105,7 +105,7 @@
 
         world.platform.handle = hold
         here = world.platform.address
-        kept, told = KeptConnection(here), []
+        kept, told = PersistentConnection(here), []
 
         async def ask() -> None:
             try:
@@ -124,7 +124,7 @@
     @in_world
     async def test_a_move_during_the_connect(self, world: World) -> None:
         gate, told = anyio.Event(), []
-        kept = KeptConnection(Address("127.0.0.1", 1))
+        kept = PersistentConnection(Address("127.0.0.1", 1))
 
         async def held(*_: Any, **__: Any) -> Any:
             gate.set()
--- a/tests/orders/test_shutdown.py
+++ b/tests/orders/test_shutdown.py
@@ -159,7 +159,7 @@
     async def test_a_request_in_the_kernel_when_the_relay_is_idle_is_answered(self, world: World) -> None:
         async with world.relay() as relay:
             link = await Link.connect(world.client)
-            await until(lambda: world.clients.seats.count)
+            await until(lambda: world.clients.sessions.count)
             relay.stopping = True
             with (
                 mock.patch("calicohitch.intake.clients._READS_A_TURN", 0),
@@ -174,7 +174,7 @@
     async def test_who_has_only_connected_may_still_send_and_is_answered(self, world: World) -> None:
         async with world.relay() as relay:
             link = await Link.connect(world.client)
-            await until(lambda: world.clients.seats.count)
+            await until(lambda: world.clients.sessions.count)
             relay.stopping = True
             world.clients.close_kept()
             async with anyio.create_task_group() as tasks:
@@ -270,10 +270,10 @@
     async def test_no_room_is_made_of_who_has_sent_a_request(self, world: World) -> None:
         async with world.relay():
             asked, silent = await Link.connect(world.client), await Link.connect(world.client)
-            await until(lambda: world.clients.seats.count == 2)
+            await until(lambda: world.clients.sessions.count == 2)
             with (
                 mock.patch("calicohitch.intake.clients._READS_A_TURN", 0),
-                mock.patch("calicohitch.intake.seats.PATIENCE_S", 0),
+                mock.patch("calicohitch.intake.sessions.PATIENCE_S", 0),
             ):
                 await asked.send(WHOLE)
                 self.assertTrue(world.clients._make_room())
@@ -307,8 +307,8 @@
                     world.members = []
                     async with world.relay() as relay:
                         link = await Link.connect(world.client)
-                        await until(lambda: world.clients.seats.count)
-                        seat = next(iter(world.clients.seats.fresh))
+                        await until(lambda: world.clients.sessions.count)
+                        seat = next(iter(world.clients.sessions.fresh))
                         seat.sock = _Clogged(seat.sock, part)  # type: ignore[assignment]
                         await link.send(WHOLE)
                         await until(lambda: seat.gone)
@@ -324,8 +324,8 @@
         async with world.relay() as relay:
             for part, open_after in ((0, False), (20, True)):
                 link = await Link.connect(world.client)
-                await until(lambda: world.clients.seats.count)
-                seat = next(iter(world.clients.seats.fresh))
+                await until(lambda: world.clients.sessions.count)
+                seat = next(iter(world.clients.sessions.fresh))
                 seat.sock = _Clogged(seat.sock, part)  # type: ignore[assignment]
                 await link.send(HEAD + b"Expect: nothing\r\n\r\n")
                 await until(lambda seat=seat: seat.gone)
@@ -372,7 +372,7 @@
             await sleep(seconds)
 
         with (
-            mock.patch("calicohitch.net.http.KeptConnection.request", hangs_once),
+            mock.patch("calicohitch.net.http.PersistentConnection.request", hangs_once),
             mock.patch("calicohitch.net.notices.anyio.sleep", slept),
         ):
             sender = notices.Notices(world.platform.address, told.append)
--- a/tests/test_answer.py
+++ b/tests/test_answer.py
@@ -8,7 +8,7 @@
 import h11
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from parties.against_h11 import cut_about, read_by
+from fake_servers.against_h11 import cut_about, read_by
 
 from calicohitch.net.answer import read
 from calicohitch.net.head import Look
--- a/tests/test_many_couriers.py
+++ b/tests/test_many_couriers.py
@@ -195,7 +195,7 @@
         failed = answers(courier.settle(arrival.message, outcome))
         assert failed == ([i.Fail(arrival.message)] if outcome is i.Outcome.RESET else [])
         ended[arrival.message] = courier.attempts[arrival.message]
-        assert not courier.engine._endpoints[11].route.sick
+        assert not courier.engine._endpoints[11].route.failing
     assert set(ended.values()) == {1}
 
 
--- a/tests/test_partial_outages.py
+++ b/tests/test_partial_outages.py
@@ -35,7 +35,7 @@
         for message in sorted(hung):
             courier.settle(message, i.Outcome.TIMEOUT)
         route = courier.engine._dests[1].routes[-1]
-        self.assertEqual((route.sick, route.bad_run, route.fail_share < 0.6), (False, 0, True))
+        self.assertEqual((route.failing, route.bad_run, route.fail_share < 0.6), (False, 0, True))
 
     def test_of_two_that_failed_the_one_that_fails_less_is_called(self) -> None:
         courier = pair()
@@ -58,7 +58,7 @@
                     )
                     self.assertEqual(sends(told), [])
                 route = courier.engine._dests[1].routes[-1]
-                route.sick, route.cold_at, route.cold_due = False, courier.now, courier.now  # just back
+                route.failing, route.cold_at, route.cold_due = False, courier.now, courier.now  # just back
                 sent = 0
                 for _ in range(200):  # more than it takes
                     sent += len(sends(courier.arrive(SAFE, left=9 * SECOND)))
--- a/tests/test_relay_rules.py
+++ b/tests/test_relay_rules.py
@@ -346,14 +346,14 @@
     @in_world
     async def test_who_makes_room_in_the_middle_of_an_uncommon_request_is_counted_once(self, world: World) -> None:
         async with world.relay():
-            seats = world.clients.seats
+            sessions = world.clients.sessions
             link = await Link.connect(world.client)
             await link.send(b"POST /orders HTTP/1.1\r\nHost: r\r\nTransfer-Encoding: chunked\r\n\r\n")
-            await until(lambda: any(seat.scope for seat in seats.fresh))
-            (seat,) = seats.fresh
+            await until(lambda: any(seat.scope for seat in sessions.fresh))
+            (seat,) = sessions.fresh
             world.clients._close(seat)
             self.assertEqual(await link.receive(), b"")
-            self.assertEqual((seats.count, list(seats.fresh), world.clients.answering), (0, [], 0))
+            self.assertEqual((sessions.count, list(sessions.fresh), world.clients.answering), (0, [], 0))
             link.close()
 
     @in_world
--- a/tests/tracing/test_exporters.py
+++ b/tests/tracing/test_exporters.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import anyio
-from parties.collector import OK, Collector, partial
+from fake_servers.collector import OK, Collector, partial
 from world import until
 
 from calicohitch.clock import Clock, ManualClock
--- a/tests/tracing/test_hops.py
+++ b/tests/tracing/test_hops.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import anyio
-from parties.collector import Collector, attributes
+from fake_servers.collector import Collector, attributes
 from test_process import ROOT, Program, ending, exit_code
 from test_relay_rules import left_open
 from tracing.test_spans import late_one
