--- a/tests/failover/test_decisions.py
+++ b/tests/failover/test_decisions.py
@@ -383,7 +383,7 @@
         self.assertEqual(again.name, held.name)
         self.assertEqual(again.gave_up, {0})
         again.begin(0)
-        again.record_complete(0)
+        again.whole(0)
         self.assertEqual(again.gave_up, set())
 
     def test_sets_that_cannot_be_read_are_removed(self) -> None:
--- a/tests/intake/test_admission.py
+++ b/tests/intake/test_admission.py
@@ -169,7 +169,7 @@
         self.assertTrue(policy.allows(190, 192))
         for _ in range(40):
             policy.not_used_again()
-        self.assertEqual((policy.allows(96, 192), policy.keep(95, 192)), (False, True))
+        self.assertEqual((policy.allows(96, 192), policy.allows(95, 192)), (False, True))
         for _ in range(20):
             policy.was_used_again()
         self.assertTrue(policy.allows(190, 192))
--- a/tests/orders/test_attempts.py
+++ b/tests/orders/test_attempts.py
@@ -48,7 +48,7 @@
 
     @property
     def kept(self) -> int:
-        return self.endpoints._leases.held[DescriptorUse.CALLS]
+        return self.endpoints._descriptors.held[DescriptorUse.CALLS]
 
 
 async def served_once(world: Scripted) -> Link:
@@ -395,7 +395,7 @@
             await until(lambda: not relay._engine._endpoints)
             release.set()
             await until(lambda: relay.idle)
-            self.assertEqual(relay._endpoints._leases.held[DescriptorUse.CALLS], 0)
+            self.assertEqual(relay._endpoints._descriptors.held[DescriptorUse.CALLS], 0)
             self.assertEqual(world.notices, [])
 
     @in_world
--- a/tests/recovery/test_recovery_phases.py
+++ b/tests/recovery/test_recovery_phases.py
@@ -88,7 +88,7 @@
         for lines in (TEXT, as_json):
             (incarnation,) = read("n0", [*lines, "{broken", "return: nothing", ""])
             self.assertEqual(
-                (incarnation.incarnation, incarnation.phases),
+                (incarnation.number, incarnation.phases),
                 (1796, {"up": 0.0, "folder": 41.0, "list": 71.0, "full": 980.0}),
             )
             self.assertEqual(incarnation.facts, {"restored": 18, "damaged": 2})
--- a/tests/test_relay_rules.py
+++ b/tests/test_relay_rules.py
@@ -127,15 +127,17 @@
         async with anyio.create_task_group() as tasks:  # two connections, of which one is idle
             tasks.start_soon(call)
             await call()
-        self.assertEqual(endpoints._leases.held[DescriptorUse.CALLS], 2)
+        self.assertEqual(endpoints._descriptors.held[DescriptorUse.CALLS], 2)
         world.endpoint.handle = hang_once  # type: ignore[assignment]
         self.assertEqual((await call(30)).outcome, Outcome.TIMEOUT)
-        self.assertEqual(endpoints._leases.held[DescriptorUse.CALLS], 0)  # the idle one may be as dead as the other
+        self.assertEqual(
+            endpoints._descriptors.held[DescriptorUse.CALLS], 0
+        )  # the idle one may be as dead as the other
         self.assertEqual((await call(wanted=False)).outcome, Outcome.MOOT)
         endpoints.close_idle(1)
         world.endpoint.listener.close()
         self.assertEqual((await call()).outcome, Outcome.CONNECT_FAILED)
-        self.assertEqual(endpoints._leases.held[DescriptorUse.CALLS], 0)
+        self.assertEqual(endpoints._descriptors.held[DescriptorUse.CALLS], 0)
 
     @in_world
     async def test_a_spoilt_answer_is_believed_only_by_a_first_line_of_200(self, world: World) -> None:
@@ -189,7 +191,7 @@
                         call = Call("a1", None, b"x", 5_000)
                         result = await endpoints.call(1, address, call, anyio.CancelScope(), lambda: True)
                         self.assertEqual(
-                            (result.outcome, endpoints._leases.held[DescriptorUse.CALLS]), (outcome, int(kept))
+                            (result.outcome, endpoints._descriptors.held[DescriptorUse.CALLS]), (outcome, int(kept))
                         )
                         endpoints.close_idle(1)
                 tasks.cancel_scope.cancel()
@@ -216,13 +218,13 @@
         endpoints = Endpoints(world.clock, (), 10_000, 50, DescriptorBudget(8, {}))
         with mock.patch("socket.socket", side_effect=OSError(errno.EMFILE, "too many open files")):
             result = await endpoints.call(1, world.endpoint.address, call, anyio.CancelScope(), lambda: True)
-        self.assertEqual((result.outcome, endpoints._leases.held[DescriptorUse.CALLS]), (Outcome.MOOT, 0))
+        self.assertEqual((result.outcome, endpoints._descriptors.held[DescriptorUse.CALLS]), (Outcome.MOOT, 0))
 
     @in_world
     async def test_a_connection_to_what_has_gone_serves_nobody_else(self, world: World) -> None:
         async with world.relay() as relay:
             await world.hand_in("a1")
-            await until(lambda: relay.idle and relay._endpoints._leases.held[DescriptorUse.CALLS])
+            await until(lambda: relay.idle and relay._endpoints._descriptors.held[DescriptorUse.CALLS])
             world.change(member(str(world.endpoint.address), "s-2"))
             await until(lambda: relay._directory.get(2))
             await world.hand_in("a2")
@@ -238,7 +240,7 @@
         for step, left in ((8_900, 1), (200, 0)):
             clock.advance(step)
             endpoints.close_old()
-            self.assertEqual(endpoints._leases.held[DescriptorUse.CALLS], left)
+            self.assertEqual(endpoints._descriptors.held[DescriptorUse.CALLS], left)
 
     @in_world
     async def test_a_timed_out_attempt_is_over_before_the_next_begins(self, world: World) -> None:
