--- a/benchmarks/endpoints.py
+++ b/benchmarks/endpoints.py
@@ -79,7 +79,7 @@
         self.revision += 1
         text = json.dumps({"revision": self.revision, "complete": complete, "members": members})
         update = self.directory.read(json.loads(text))
-        self.engine.handle(self.revision * 1_000, [update.told()])
+        self.engine.handle(self.revision * 1_000, [update.event()])
 
     def first(self) -> None:
         self.anew()
@@ -94,7 +94,7 @@
         self.told(False, [changed])
 
     def keep(self) -> None:
-        members = self.directory.told if len(self.members) <= MOST_MEMBERS else list
+        members = self.directory.storable_members if len(self.members) <= MOST_MEMBERS else list
         self.memory.save(1e12 + self.revision, self.engine.known(), lambda _number: "", "d", self.revision, members)
 
     def measured(self) -> dict[str, float]:
--- a/benchmarks/tracing.py
+++ b/benchmarks/tracing.py
@@ -143,9 +143,9 @@
                 platform.close()
             found = read_files([Path(folder) / "t.jsonl"])
         roots = [m.root for m in found.messages]
-        late = [r for r in roots if r.told("calicohitch.cause") == "late"]
+        late = [r for r in roots if r.attribute("calicohitch.cause") == "late"]
         counts = next(iter(found.counts.values()))
-        told = sum(float(r.told("calicohitch.adjusted_count", 0)) for r in late)
+        told = sum(float(r.attribute("calicohitch.adjusted_count", 0)) for r in late)
         seen = counts.get("calicohitch.seen.late", 0)
         causes = ", ".join(
             f"{k.rpartition('.')[2]} {counts.get(k.replace('seen', 'kept'), 0)} of {n}"
--- a/calicohitch/commands/fleet.py
+++ b/calicohitch/commands/fleet.py
@@ -182,9 +182,9 @@
         except OSError as err:
             raise Unusable(f"{folder}: {err.strerror}") from err
     if as_json:
-        click.echo(json.dumps([trace.told() for trace in found]))
+        click.echo(json.dumps([trace.as_dict() for trace in found]))
     for trace in found if not as_json else ():
-        facts = trace.told()
+        facts = trace.as_dict()
         whose = f"a copy of {trace.owner}'s, epoch {trace.epoch}" if trace.owner else "its own"
         state = "over" if trace.closed else f"ends as {trace.end}" if trace.end else "open"
         click.echo(
--- a/calicohitch/commands/recovery.py
+++ b/calicohitch/commands/recovery.py
@@ -45,7 +45,7 @@
         except ChartError as err:
             raise Unreadable(str(err)) from err
     if as_json:
-        click.echo(json.dumps({"fleet": whole, "lives": [incarnation.told() for incarnation in incarnations]}))
+        click.echo(json.dumps({"fleet": whole, "lives": [incarnation.as_dict() for incarnation in incarnations]}))
     else:
         _print(incarnations, whole)
     if not incarnations or any("full" not in incarnation.phases for incarnation in incarnations):
--- a/calicohitch/commands/traces.py
+++ b/calicohitch/commands/traces.py
@@ -82,10 +82,10 @@
             [
                 f"{m.root.ms:.0f}",
                 _id(m),
-                str(m.root.told("calicohitch.class")),
-                str(m.root.told("messaging.destination.name")),
-                str(m.root.told("calicohitch.end")),
-                str(m.root.told("calicohitch.attempts")),
+                str(m.root.attribute("calicohitch.class")),
+                str(m.root.attribute("messaging.destination.name")),
+                str(m.root.attribute("calicohitch.end")),
+                str(m.root.attribute("calicohitch.attempts")),
                 " ".join(f"{hands} {ms:.0f}" for hands, ms in asking.by_hands(m).items() if ms >= 1),
             ]
             for m in messages
@@ -156,7 +156,7 @@
 
 
 def _id(message: Message) -> str:
-    return str(message.root.told("messaging.message.id"))
+    return str(message.root.attribute("messaging.message.id"))
 
 
 def _told(message: Message) -> dict[str, Any]:
@@ -209,7 +209,7 @@
     lines = []
     for part in parts:
         root = part.root
-        told = root.told
+        told = root.attribute
         late = " late" if told("calicohitch.late", False) else ""
         lines.append(
             f"message {_id(part)}  {told('calicohitch.class')} for {told('messaging.destination.name')}"
--- a/calicohitch/core/limit_share.py
+++ b/calicohitch/core/limit_share.py
@@ -62,7 +62,7 @@
         if limit > 0:
             self.limit, self.reported, self._left = limit, True, self.supposed_left
 
-    def came(self, now: int, share: float = 1.0) -> None:
+    def message_arrived(self, now: int, share: float = 1.0) -> None:
         """A message came, of which so much is for this route; an equal part does not go by that."""
 
     def observe(self, now: int, report: Sequence[float], full: bool) -> None:
--- a/calicohitch/core/protocols.py
+++ b/calicohitch/core/protocols.py
@@ -32,17 +32,17 @@
     STOPPING = "the relay is stopping"
     FULL = "no room for another message"
     BUSY = "too much work at once"
-    UNCOPIED = "too few relays hold copies"
-    LEFT = "the client has left"
+    NOT_REPLICATED = "too few relays hold copies"
+    CLIENT_LEFT = "the client has left"
     NO_KEY = "a message of this class needs a key"
     UNKNOWN = "no endpoint is known for the destination"
-    BEING_TAKEN = "it is being handed in on another connection"
-    TAKEN = "it is taken on already"
+    BEING_SUBMITTED = "it is being handed in on another connection"
+    ALREADY_ACCEPTED = "it is taken on already"
 
     @property
-    def come_again_ms(self) -> float:
+    def retry_after_ms(self) -> float:
         """After how long its client may hand it in again: here once there is room, else at once at another relay."""
-        return 1_000.0 if self in (Refusal.FULL, Refusal.UNKNOWN, Refusal.BUSY, Refusal.UNCOPIED) else 100.0
+        return 1_000.0 if self in (Refusal.FULL, Refusal.UNKNOWN, Refusal.BUSY, Refusal.NOT_REPLICATED) else 100.0
 
 
 class EndKind(Enum):
@@ -57,7 +57,7 @@
 class MessageEnd:
     """`retry_in` in milliseconds, 0 for no advice; `answer` is the delivery's, for the intake of its protocol."""
 
-    how: EndKind
+    kind: EndKind
     retry_in: float = 0.0
     may_have_run: bool = False
     answer: Any = None
--- a/calicohitch/core/shared_limit.py
+++ b/calicohitch/core/shared_limit.py
@@ -61,7 +61,7 @@
             self._times = min(_MOST, max(_LEAST, times))
             self._recalled = came
 
-    def came(self, now: int, share: float = 1.0) -> None:
+    def message_arrived(self, now: int, share: float = 1.0) -> None:
         """A message came, of which so much is for this route."""
         self._refill(now)
         if self._born is None:
--- a/calicohitch/decision_state.py
+++ b/calicohitch/decision_state.py
@@ -94,7 +94,7 @@
         """What a held message shares with those that differ from it in their times alone."""
         return self.told.class_index, self.worth, self.attempts > 0, self.owed
 
-    def recovery(self, outcome: Outcome) -> None:
+    def attempt_ended(self, outcome: Outcome) -> None:
         """An attempt ended so: whether it was a call at all, and whether it was refused."""
         self.refused = outcome is Outcome.FULL
         self.owed = self.owed and outcome in (Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.CANCELLED)
@@ -160,7 +160,7 @@
         if not was.wait_only:
             self.share.recall(*was.share)
             self.failing, self.cold_at = was.failing, was.cold_at
-        self.rest(was.wait_until, Hold.TOLD_WAIT)
+        self.rest(was.wait_until, Hold.RETRY_AFTER)
 
     def due(self) -> int:
         """When rests, and this courier's part of the limit, let the next call go."""
@@ -212,7 +212,7 @@
         """One more message came, for any of the routes."""
         self.came += 1
         for route in self.routes.values():
-            route.share.came(now, 1 / len(self.routes))
+            route.share.message_arrived(now, 1 / len(self.routes))
 
     def gap(self, now: int) -> float:
         """This courier's usual gap between messages there."""
@@ -241,7 +241,7 @@
             route.share.state(),
             route.failing,
             route.cold_at,
-            route.rest_until if route.rest_why is Hold.TOLD_WAIT else 0,
+            route.rest_until if route.rest_why is Hold.RETRY_AFTER else 0,
         )
         for name, dest in dests.items()
         for at, route in dest.routes.items()
--- a/calicohitch/decisions.py
+++ b/calicohitch/decisions.py
@@ -180,7 +180,7 @@
         if message is None or (call := message.calls.pop(event.attempt, None)) is None:
             return
         route, self._touched[message.dest] = call.endpoint.route, None
-        route.rest(self._now + event.wait, Hold.TOLD_WAIT)  # each rider may tell its own
+        route.rest(self._now + event.wait, Hold.RETRY_AFTER)  # each rider may tell its own
         call.left -= 1
         if call.left == 0:
             self._slots_taken -= 1
@@ -191,7 +191,7 @@
         if not call.told:
             call.told = True
             self._learn(call, event)
-        message.recovery(event.outcome)
+        message.attempt_ended(event.outcome)
         if event.outcome.never_ran:
             del message.may_have_run[event.attempt]
         elif message.told.key and event.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
@@ -245,7 +245,7 @@
             # Guards against an outage: only spaced trials go to a sick route, and its return is ramped up.
             route.failing, pause = True, min(TRIAL << max(0, min(route.bad_run - 3, 7)), TRIAL_MAX)
             pause = event.wait + max(pause, self._spread(dest)) if event.wait else pause
-            route.rest(now + pause, Hold.TOLD_WAIT if event.wait else Hold.TRIAL)
+            route.rest(now + pause, Hold.RETRY_AFTER if event.wait else Hold.TRIAL)
         for message in dest.held.values():
             self._hold(message)  # its rank for room has changed
 
@@ -319,7 +319,7 @@
         Couriers told the same end of an outage come back spread over the ramp."""
         route, dest, now = call.endpoint.route, self._dests[call.endpoint.told.dest], self._now
         if wait > SHUT:
-            dest.rest(now + wait + self._spread(dest), Hold.TOLD_WAIT)
+            dest.rest(now + wait + self._spread(dest), Hold.RETRY_AFTER)
         elif route.share.limit:  # its part holds this courier back; those told the same wait come spread
             route.rest(now + wait + route.share.apart(self._random.random()), Hold.PACE)
         elif self._rare(dest):
--- a/calicohitch/failover/looking.py
+++ b/calicohitch/failover/looking.py
@@ -31,7 +31,7 @@
     origin: str = ""
     outcomes: dict[int, bool] = field(default_factory=dict, repr=False)
 
-    def told(self) -> dict[str, object]:
+    def as_dict(self) -> dict[str, object]:
         never = sum(not ran for ran in self.outcomes.values())
         return {
             "folder": self.folder,
--- a/calicohitch/failover/manager.py
+++ b/calicohitch/failover/manager.py
@@ -118,7 +118,7 @@
             self.replication.alone += 1
             return None
         self.refused += 1
-        return Refusal.UNCOPIED
+        return Refusal.NOT_REPLICATED
 
     def opening(self, entry: Entry) -> None:
         """A message is about to be journaled: from its first record on it is copied, if its class is."""
@@ -227,7 +227,7 @@
             elif taken.parts is not None and part_of(entry.id, self._set.parts) not in taken.parts:
                 lost.add(number)
             elif taken.doubted:
-                entry.doubtful, entry.whole_until = True, 0.0
+                entry.doubtful, entry.complete_until = True, 0.0
         if lost:
             logger.bind(event="takeover.given_away", count=len(lost)).warning(
                 "{} messages of the folder are others' by now, and are dropped here", len(lost)
@@ -380,10 +380,10 @@
             return
         now = self._now()
         entries = held.claimed(parts, now, _CLOCK_ERROR_MS)
-        whole = held.whole_until(now, _CLOCK_ERROR_MS)
+        whole = held.complete_until(now, _CLOCK_ERROR_MS)
         for entry in entries:
             if self.mode(entry.class_name).when != "first":  # what went behind may not have come
-                entry.whole_until = min(entry.whole_until, whole) if entry.doubtful else whole
+                entry.complete_until = min(entry.complete_until, whole) if entry.doubtful else whole
                 entry.doubtful = True
         entries = [
             replace(entry, origin=Origin(owner, epoch, part_of(entry.id, held.parts)))
--- a/calicohitch/failover/replica_store.py
+++ b/calicohitch/failover/replica_store.py
@@ -126,7 +126,7 @@
                 moved = replace(
                     entry,
                     deadline=entry.deadline + shift,
-                    whole_until=entry.whole_until + shift,
+                    complete_until=entry.complete_until + shift,
                     attempts=[
                         replace(
                             attempt,
@@ -141,7 +141,7 @@
         self.journal.entries.clear()
         return found
 
-    def whole_until(self, now: float, clock_error: float) -> float:
+    def complete_until(self, now: float, clock_error: float) -> float:
         """Up to this time, by this relay's clock and as early as it can have been, all that the owner did is here."""
         return self.whole_at + self._earliest(now, clock_error)
 
--- a/calicohitch/grpc/intake.py
+++ b/calicohitch/grpc/intake.py
@@ -225,19 +225,19 @@
     def _refused(self, why: Refusal) -> Headers:
         if why is Refusal.NO_KEY:
             return trailers_only(Status.INVALID_ARGUMENT, why.value)
-        if why in (Refusal.TAKEN, Refusal.BEING_TAKEN):
+        if why in (Refusal.ALREADY_ACCEPTED, Refusal.BEING_SUBMITTED):
             return trailers_only(Status.ABORTED, "a call with this id is open")
-        return trailers_only(Status.UNAVAILABLE, why.value, pushback(why.come_again_ms))
+        return trailers_only(Status.UNAVAILABLE, why.value, pushback(why.retry_after_ms))
 
     async def _end(self, stream: Http2Stream, pipe: Pipe, end: MessageEnd) -> None:
         """The one answer. An endpoint's own end is passed on as it is."""
-        more: Headers = [(b"calicohitch-may-have-run", b"1")] if end.may_have_run and end.how is EndKind.FAILED else []
+        more: Headers = [(b"calicohitch-may-have-run", b"1")] if end.may_have_run and end.kind is EndKind.FAILED else []
         if isinstance(end.answer, Answer):
             if end.answer.initial and not pipe.begun:
                 await stream.send_headers([(b":status", b"200"), *end.answer.initial])
                 pipe.begun = True
             told = [*end.answer.trailers, *more]
-        elif end.how is EndKind.REFUSED:
+        elif end.kind is EndKind.REFUSED:
             told = trailers(Status.UNAVAILABLE, "not delivered; it is harmless to call again", pushback(end.retry_in))
         elif self._clock.now() >= pipe.deadline:
             told = trailers(Status.DEADLINE_EXCEEDED, "given up; an attempt may have run", more)
--- a/calicohitch/intake/admission/account.py
+++ b/calicohitch/intake/admission/account.py
@@ -39,7 +39,7 @@
         self.causes[cause] += 1
         self.sources.setdefault(cause, Heaviest()).count(source)
 
-    def told(self) -> dict[str, object] | None:
+    def summary(self) -> dict[str, object] | None:
         """What is to be logged, None where nothing was shed; it begins anew."""
         causes, sources, accepted = self.causes, self.sources, self.accepted
         self.accepted, self.causes, self.sources = 0, Counter(), {}
--- a/calicohitch/intake/clients.py
+++ b/calicohitch/intake/clients.py
@@ -179,7 +179,7 @@
         """Say now and then who was shed, and why."""
         while True:
             await anyio.sleep(self._set.told_every_s)
-            if told := self.account.told():
+            if told := self.account.summary():
                 ledger = self._relay.descriptors.summary()
                 logger.bind(event="clients.shed", seats=self.sessions.count, ledger=ledger, **told).info(
                     "clients: {} were shed or refused: {}",
@@ -492,14 +492,14 @@
         if waited_ms:
             self._load.measured(now, waited_ms)
         if has_ended(session.sock):
-            number: int | Refusal = Refusal.LEFT
+            number: int | Refusal = Refusal.CLIENT_LEFT
         elif not self._load.admits(self.shares.known(session.source, now), waited_ms):
             number = Refusal.BUSY
             self._relay.turned_away(told, number)
         else:
             number = self._relay.submit(told)
         if isinstance(number, Refusal):
-            if number is not Refusal.TAKEN:
+            if number is not Refusal.ALREADY_ACCEPTED:
                 self.account.shed(number.value, session.source)
             return refusal(number, self._random.random()), None, None
         self.shares.took_on(session.source, now)
--- a/calicohitch/intake/submission.py
+++ b/calicohitch/intake/submission.py
@@ -86,9 +86,9 @@
 def refusal(why: Refusal, drawn: float = 0.0) -> SubmissionAnswer:
     """What a client is told whose message is not taken on, or is already. `drawn`: a number from 0 to 1, which spreads
     those that are refused together over half as long again, since they would come again together."""
-    if why is Refusal.TAKEN:
+    if why is Refusal.ALREADY_ACCEPTED:
         return ACCEPTED
     if why is Refusal.NO_KEY:
         return SubmissionAnswer(400, [], why.value.encode(), close=True)
-    headers: Headers = [(b"Retry-After", f"{why.come_again_ms * (1 + drawn / 2) / 1e3:.3g}".encode())]
+    headers: Headers = [(b"Retry-After", f"{why.retry_after_ms * (1 + drawn / 2) / 1e3:.3g}".encode())]
     return SubmissionAnswer(503, headers, why.value.encode(), close=why not in (Refusal.FULL, Refusal.BUSY))
--- a/calicohitch/interface.py
+++ b/calicohitch/interface.py
@@ -40,7 +40,7 @@
     """Why a message that is held is not out."""
 
     SLOT = "slot"  # all of this courier's slots are taken, or a message of a higher rank goes first
-    TOLD_WAIT = "told_wait"  # the destination told to wait
+    RETRY_AFTER = "told_wait"  # the destination told to wait
     REST = "rest"  # calls there are rare, and failed or were refused
     PACE = "pace"  # calls are spaced below the destination's limit
     TRIAL = "trial"  # the route is sick: only spaced trials go there
--- a/calicohitch/journal.py
+++ b/calicohitch/journal.py
@@ -120,8 +120,8 @@
     end: End | None = None
     trace: bytes = b""
     call: bool = False  # its client's call was open: a later life remembers what was tried, and does not try itself
-    doubtful: bool = False  # an attempt after `whole_until`, or its end, may be missing
-    whole_until: float = 0.0  # the last time, before the damage, that the journal tells
+    doubtful: bool = False  # an attempt after `complete_until`, or its end, may be missing
+    complete_until: float = 0.0  # the last time, before the damage, that the journal tells
     bodiless: bool = False  # its body is damaged: it can be ended and no more
     origin: Origin | None = None
     on_this_clock: bool = field(default=False, compare=False)  # its times were moved from the clock of an earlier life
@@ -135,7 +135,7 @@
     offset: int
     length: int
     what: str
-    mended: bool = False
+    repaired: bool = False
 
 
 @dataclass(slots=True)
@@ -476,9 +476,9 @@
                 if not one.torn:
                     self._lost(one, segment)
                 continue
-            if one.mended:
+            if one.repaired:
                 segment.damaged = True
-                self._note(segment, one.offset, len(one.payload), f"{one.mended} was mended", mended=True)
+                self._note(segment, one.offset, len(one.payload), f"{one.repaired} was mended", mended=True)
             self._replay(one, segment)
 
     def _note(self, segment: _Segment, offset: int, length: int, what: str, mended: bool = False) -> None:
@@ -511,7 +511,7 @@
         )
         for entry in self.entries.values():
             if not entry.doubtful:
-                entry.doubtful, entry.whole_until = True, self.written_until
+                entry.doubtful, entry.complete_until = True, self.written_until
 
     def _salvaged(self, payload: bytes, segment: _Segment) -> Entry | None:
         """A message whose record is damaged, if all but its body can be read: it is owed its end."""
@@ -588,7 +588,7 @@
                 return  # told already
             while len(entry.attempts) < attempt:  # one that could not be written was not made, a lost one may have been
                 entry.attempts.append(
-                    Attempt(entry.whole_until, zone)
+                    Attempt(entry.complete_until, zone)
                     if entry.doubtful
                     else Attempt(sent_at, zone, may_have_run=False, settled=True)
                 )
--- a/calicohitch/net/discovery.py
+++ b/calicohitch/net/discovery.py
@@ -43,7 +43,7 @@
     behind: bool = False  # it is older than what was told before
     changes: tuple[Listed, ...] | None = None
 
-    def told(self, cached: bool = False) -> ListTold:
+    def event(self, cached: bool = False) -> ListTold:
         """For the decisions, which take as long over a list as it has entries: no more of them than are needed."""
         if cached:
             return ListTold(ListKind.CACHED, self.version, self.entries)
@@ -170,7 +170,7 @@
         if len(self._left) > _MOST_LEFT:
             del self._left[next(iter(self._left))]
 
-    def told(self) -> list[dict[str, Any]]:
+    def storable_members(self) -> list[dict[str, Any]]:
         """What is known of all endpoints that are not gone, in discovery's form; made anew where that has changed."""
         if self._stored is None:
             self._stored = self._made_told()
@@ -319,7 +319,7 @@
         elif self._believed_at is None:
             self._believed_at = anyio.current_time() + _CATCHES_UP_S
         if update.complete or update.entries:  # always: the directory has read them
-            self._tell(update.told())
+            self._tell(update.event())
         if self._version is not None and update.version < self._version and not update.complete:
             # Guards against a list of an earlier life, or of a discovery that lost its own: nothing new would be told.
             logger.warning(
--- a/calicohitch/net/relay.py
+++ b/calicohitch/net/relay.py
@@ -190,7 +190,7 @@
     def submit(self, told: Submission) -> int | Refusal:
         """Journal a message. `accept` must follow once its client was told, or `withdraw` if it was not."""
         taken = self._submit(told)
-        if isinstance(taken, Refusal) and taken not in (Refusal.TAKEN, Refusal.BEING_TAKEN):
+        if isinstance(taken, Refusal) and taken not in (Refusal.ALREADY_ACCEPTED, Refusal.BEING_SUBMITTED):
             self.turned_away(told, taken)
         return taken
 
@@ -204,7 +204,7 @@
     def _submit(self, told: Submission) -> int | Refusal:
         if (number := self._by_id.get(told.id)) is not None:
             # The client sent its request again, or another has its id: only the first may accept or withdraw.
-            return Refusal.TAKEN if self._open[number].accepted else Refusal.BEING_TAKEN
+            return Refusal.ALREADY_ACCEPTED if self._open[number].accepted else Refusal.BEING_SUBMITTED
         if self.stopping or not self.ready:
             return Refusal.STOPPING if self.stopping else Refusal.STARTING
         if told.key is None and self._config.settings.classes[told.class_index].effect is i.Effect.KEYED:
@@ -254,7 +254,7 @@
             told.dest,
             told.key,
         ):
-            return Refusal.TAKEN  # another message under its id
+            return Refusal.ALREADY_ACCEPTED  # another message under its id
         self._call_history.forget(told.id)
         longest = to_ms(self._config.settings.classes[told.class_index].deadline)
         entry.deadline = self._clock.now() + min(max(told.time_left, 0.0), longest)
@@ -387,7 +387,7 @@
 
     def _storable(self) -> Sequence[dict[str, Any]]:
         """The list in discovery's form; nothing where it is too long to be stored."""
-        return self._directory.told() if len(self._directory) <= MOST_MEMBERS else ()
+        return self._directory.storable_members() if len(self._directory) <= MOST_MEMBERS else ()
 
     def _name_of(self, endpoint: int) -> str:
         member = self._directory.get(endpoint)
@@ -696,7 +696,7 @@
                 continue
             try:
                 update = self._directory.read(known)
-                self.feed(update.told(cached=True))
+                self.feed(update.event(cached=True))
                 if update.complete:
                     self._discovery.has(update.version)
                 return
@@ -906,12 +906,12 @@
             return
         for one in journal.damage[:_TOLD_DAMAGES]:
             logger.bind(
-                event="recovery.damage", segment=one.segment, offset=one.offset, length=one.length, mended=one.mended
+                event="recovery.damage", segment=one.segment, offset=one.offset, length=one.length, mended=one.repaired
             ).warning("journal: {} at {}: {} bytes are damaged: {}", one.segment, one.offset, one.length, one.what)
         entries = journal.entries.values()
         told = {
             "stretches": len(journal.damage),
-            "mended": sum(one.mended for one in journal.damage),
+            "mended": sum(one.repaired for one in journal.damage),
             "doubtful": sum(entry.doubtful for entry in entries),
             "bodiless": sum(e.bodiless for e in entries),
             "orphans": journal.orphans,
--- a/calicohitch/recovery/indeterminate.py
+++ b/calicohitch/recovery/indeterminate.py
@@ -14,7 +14,7 @@
 def earliest(entry: Entry, cls: MessageClass) -> float:
     """The first time, in milliseconds, that an attempt nobody knows of can have been made: not before the message was
     taken on, and not before the journal was last whole."""
-    return max(entry.deadline - cls.deadline / 1e3, entry.whole_until)
+    return max(entry.deadline - cls.deadline / 1e3, entry.complete_until)
 
 
 def missing_attempt(entry: Entry, cls: MessageClass) -> Attempt | None:
--- a/calicohitch/recovery/reading.py
+++ b/calicohitch/recovery/reading.py
@@ -31,7 +31,7 @@
     facts: dict[str, int] = field(default_factory=dict)
     seconds: dict[int, dict[str, int]] = field(default_factory=dict)
 
-    def told(self) -> dict[str, Any]:
+    def as_dict(self) -> dict[str, Any]:
         return {
             "relay": self.relay,
             "life": self.number,
--- a/calicohitch/recovery/repair.py
+++ b/calicohitch/recovery/repair.py
@@ -32,7 +32,7 @@
 
     offset: int
     payload: bytes
-    mended: str = ""
+    repaired: str = ""
 
 
 @dataclass(frozen=True, slots=True)
--- a/calicohitch/recovery/state_cache.py
+++ b/calicohitch/recovery/state_cache.py
@@ -67,7 +67,7 @@
                 if entry.on_this_clock:
                     continue  # the journal knew its moment
                 entry.deadline += told.set_by
-                entry.whole_until += told.set_by
+                entry.complete_until += told.set_by
                 for attempt in entry.attempts:
                     attempt.sent_at += told.set_by
         if told.rolled_back:
@@ -79,7 +79,7 @@
             )
             for entry in entries:
                 if not entry.doubtful:
-                    entry.doubtful, entry.whole_until = True, found.written.wall + told.set_by
+                    entry.doubtful, entry.complete_until = True, found.written.wall + told.set_by
 
     def restored_state(self, number: Callable[[str], int | None], wall: float) -> RestoredState | None:
         """What the decisions are told; `number` of an endpoint by its name, None where the list does not name it."""
--- a/calicohitch/tracing/asking.py
+++ b/calicohitch/tracing/asking.py
@@ -31,10 +31,10 @@
 def what_of(span: Seen) -> tuple[str, str]:
     """What a child span stands for, and in whose hands that is."""
     if span.is_attempt:
-        cut = span.told("calicohitch.cut")
-        outcome = "cut by a death" if cut else str(span.told("calicohitch.outcome", "unknown"))
+        cut = span.attribute("calicohitch.cut")
+        outcome = "cut by a death" if cut else str(span.attribute("calicohitch.outcome", "unknown"))
         return f"call: {outcome}", "relay" if cut else "partner"
-    reason = str(span.told("calicohitch.hold.reason"))
+    reason = str(span.attribute("calicohitch.hold.reason"))
     if reason:
         hands = "partner" if reason in _PARTNER else "list" if reason == "no_endpoint" else "relay"
         return f"held: {reason}", hands
@@ -83,7 +83,7 @@
     hits = [
         m
         for m in messages
-        if str(m.root.told("messaging.message.id")) == wanted
+        if str(m.root.attribute("messaging.message.id")) == wanted
         or len(wanted_hex) >= 6
         and (m.root.trace_id.startswith(wanted_hex) or m.story.startswith(wanted_hex))
     ]
@@ -103,7 +103,7 @@
     end: str = ""
 
     def matches(self, message: Message) -> bool:
-        told = message.root.told
+        told = message.root.attribute
         return (
             (not self.class_name or told("calicohitch.class") == self.class_name)
             and (not self.dest or told("messaging.destination.name") == self.dest)
@@ -137,5 +137,5 @@
             row.ms += took * message.weight
             row.messages += message.weight
             if took > row.worst_ms:
-                row.worst_ms, row.worst_id = took, str(message.root.told("messaging.message.id"))
+                row.worst_ms, row.worst_id = took, str(message.root.attribute("messaging.message.id"))
     return sorted(rows.values(), key=lambda row: -row.ms)
--- a/calicohitch/tracing/reading.py
+++ b/calicohitch/tracing/reading.py
@@ -43,7 +43,7 @@
     def ms(self) -> float:
         return (self.end - self.start) / 1e6
 
-    def told(self, name: str, default: Value = "") -> Value:
+    def attribute(self, name: str, default: Value = "") -> Value:
         return self.attributes.get(name, default)
 
 
@@ -57,11 +57,11 @@
     @property
     def weight(self) -> float:
         """So many messages does it stand for."""
-        return float(self.root.told("calicohitch.adjusted_count", 1.0))
+        return float(self.root.attribute("calicohitch.adjusted_count", 1.0))
 
     @property
     def story(self) -> str:
-        return str(self.root.told("calicohitch.story"))
+        return str(self.root.attribute("calicohitch.story"))
 
 
 @dataclass(slots=True)
--- a/calicohitch/tracing/spans.py
+++ b/calicohitch/tracing/spans.py
@@ -156,7 +156,7 @@
 def _holds(facts: Facts, timeline: Timeline | None, make: _Maker) -> Iterator[Span]:
     for n, hold in enumerate(facts.holds):
         for k, (since, until, why) in enumerate(_stretches(hold, timeline, make)):
-            told = why is Hold.TOLD_WAIT
+            told = why is Hold.RETRY_AFTER
             name = f"wait told by {facts.dest}" if told else f"held: {why.value}"
             span = make.span(f"hold {n}.{k} {facts.recovered_at}", name, INTERNAL, since, until)
             span.attributes = {"calicohitch.hold.reason": why.value, DESTINATION: str(facts.dest)}
--- a/tests/faults/test_many_endpoints.py
+++ b/tests/faults/test_many_endpoints.py
@@ -34,13 +34,13 @@
 class WholeLists(unittest.TestCase):
     def test_one_that_follows_another_tells_what_changed(self) -> None:
         known, items = directory(), members(40)
-        first = known.read(told(1, items)).told()
+        first = known.read(told(1, items)).event()
         self.assertEqual((first.kind, len(first.entries)), (ListKind.FULL, 40))
         items[3]["phase"] = "Terminating"
         items[7]["size"] = 9.0
         gone = known.number(items.pop(5)["id"])
         items.append(member("127.0.0.9:81", "t-new", 1))
-        second = known.read(told(2, items)).told()
+        second = known.read(told(2, items)).event()
         self.assertEqual(second.kind, ListKind.DELTA)
         found = {entry.endpoint: (entry.phase, entry.weight) for entry in second.entries}
         self.assertEqual(
@@ -52,7 +52,7 @@
                 gone: (Phase.GONE, 2.0),
             },
         )
-        self.assertEqual(known.read(told(3, items)).told().entries, second.entries[:1])  # who drains is told again
+        self.assertEqual(known.read(told(3, items)).event().entries, second.entries[:1])  # who drains is told again
         self.assertEqual(len(known), 40)
 
     def test_lines_that_were_read_ahead_are_read_as_ever(self) -> None:
@@ -65,17 +65,19 @@
             {e.dest: e.weight for e in ahead.read(list_).entries},
             {e.dest: e.weight for e in plain.read(told(1, items)).entries},
         )
-        self.assertEqual(sorted(one["id"] for one in ahead.told()), sorted(one["id"] for one in plain.told()))
+        self.assertEqual(
+            sorted(one["id"] for one in ahead.storable_members()), sorted(one["id"] for one in plain.storable_members())
+        )
 
     def test_what_is_stored_of_it_follows_changes(self) -> None:
         known, items = directory(), members(20)
         known.read(told(1, items))
-        before = known.told()
+        before = known.storable_members()
         known.read(told(2, items))
-        self.assertIs(known.told(), before)
+        self.assertIs(known.storable_members(), before)
         items[2]["size"] = 5.0
         known.read(told(3, items))
-        self.assertEqual([one["size"] for one in known.told() if one["id"] == "t-2"], [5.0])
+        self.assertEqual([one["size"] for one in known.storable_members() if one["id"] == "t-2"], [5.0])
 
     @in_world
     async def test_the_loop_has_turns_while_thousands_of_lines_are_read(self, world: World) -> None:
--- a/tests/faults/test_refusals.py
+++ b/tests/faults/test_refusals.py
@@ -19,7 +19,7 @@
                 shares = [share_of(relays, FIELDS) for _ in range(2)]
                 for share in shares:
                     for n in range(5):
-                        share.came(n * SECOND)
+                        share.message_arrived(n * SECOND)
                         share.observe(n * SECOND, (0.8, 60.0), False)
                 for n in range(5, 9):
                     shares[0].observe(n * SECOND, (), True)
--- a/tests/faults/test_sweep.py
+++ b/tests/faults/test_sweep.py
@@ -215,7 +215,7 @@
         for number, found in entries.items():
             if number in known.taken and found.body != BODY:
                 raise Broken("a body is not what was taken on")
-        if damage := [one for one in later.damage if not one.mended]:
+        if damage := [one for one in later.damage if not one.repaired]:
             raise Broken(f"damage that no disk did: {damage}")
     finally:
         later.close()
--- a/tests/recovery/test_corpus.py
+++ b/tests/recovery/test_corpus.py
@@ -48,7 +48,7 @@
                 ):
                     self.assertEqual(sorted(n for n, one in entries.items() if chosen(one)), told[name], name)
                 self.assertEqual(
-                    (len(known.damage), sum(one.mended for one in known.damage), known.orphans),
+                    (len(known.damage), sum(one.repaired for one in known.damage), known.orphans),
                     (told["stretches"], told["mended"], told["orphans"]),
                 )
                 known.close()
--- a/tests/recovery/test_damage.py
+++ b/tests/recovery/test_damage.py
@@ -233,9 +233,9 @@
 
 class Doubts(unittest.TestCase):
     def test_what_is_missing_counts_from_the_earliest_time_it_can_have_been(self) -> None:
-        one = Entry(1, "m", "orders", 7, 100_000.0, "k", b"", doubtful=True, whole_until=80_000.0)
+        one = Entry(1, "m", "orders", 7, 100_000.0, "k", b"", doubtful=True, complete_until=80_000.0)
         self.assertEqual(missing_attempt(one, KEYED), Attempt(80_000.0, 0))
-        one.whole_until = 70_000.0  # it was taken on 24 s before its deadline at the earliest
+        one.complete_until = 70_000.0  # it was taken on 24 s before its deadline at the earliest
         self.assertEqual(missing_attempt(one, KEYED), Attempt(76_000.0, 0))
         one.attempts.append(Attempt(75_000.0, 1))  # a known one that is as bad
         self.assertIsNone(missing_attempt(one, KEYED))
--- a/tests/recovery/test_folder_lease.py
+++ b/tests/recovery/test_folder_lease.py
@@ -206,7 +206,7 @@
                 self.assertGreater(third.incarnation, lease.incarnation)
                 found = Journal(folder, 3e6, third.incarnation)
                 self.assertEqual(found.entries[kept.number].body, b"body")
-                self.assertFalse([one for one in found.damage if not one.mended], (last, found.damage))
+                self.assertFalse([one for one in found.damage if not one.repaired], (last, found.damage))
                 found.close()
                 third.close()
                 if done <= last:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -145,7 +145,7 @@
         for left in (0.0, 0.2, 0.6, 1.0):
             share = SharedLimit(40, ("x0", "x1"))
             for n in range(40):  # four messages a second come, twice its equal part
-                share.came(1_000 * SECOND + n * SECOND // 4)
+                share.message_arrived(1_000 * SECOND + n * SECOND // 4)
                 share.observe(1_000 * SECOND + n * SECOND // 4, (left, 80.0), False)
             rates.append(share.rate())
         self.assertEqual(rates, sorted(rates))
@@ -156,7 +156,7 @@
     def test_refusals_that_come_together_count_as_one(self) -> None:
         share = SharedLimit(40, ("x0", "x1"))
         for n in range(20):
-            share.came(n * SECOND // 4)
+            share.message_arrived(n * SECOND // 4)
             share.observe(n * SECOND // 4, (1.0, 80.0), False)
         share.observe(5 * SECOND, (0.9, 80.0), True)
         once = share._times
@@ -169,7 +169,7 @@
         """One of 200 that knows a limit of 200 a second and is told twice a second, as two messages come a second."""
         share = SharedLimit(200, ("x0", "x1"))
         for n in range(60):
-            share.came(n * SECOND // 2)
+            share.message_arrived(n * SECOND // 2)
             share.observe(n * SECOND // 2, (0.5, 200.0), False)
         share._times = times
         return share
@@ -202,7 +202,7 @@
         share = SharedLimit(200, ("x0", "x1"))
         share.assume_limit(0, 100.0)
         for _ in range(40):  # what an earlier life left
-            share.came(0)
+            share.message_arrived(0)
         sent = 0
         for now in range(0, SECOND, 10 * MS):
             while share.due() <= now:
@@ -271,7 +271,7 @@
 
     def test_old_news_count_for_less(self) -> None:
         share = self.share(1.0)
-        share.came(1_030 * SECOND)
+        share.message_arrived(1_030 * SECOND)
         share.observe(1_030 * SECOND, (0.0, 80.0), True)
         self.assertLess(share.rate(), 2.0)
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -91,7 +91,7 @@
         path.write_bytes(data[:-1] + bytes([data[-1] ^ 1]))  # as long as it was, but not what was written: mended
         mended = self.again()
         self.assertEqual({number: known.body for number, known in mended.entries.items()}, {1: b"body", 2: b"body"})
-        self.assertEqual([one.mended for one in mended.damage], [True])
+        self.assertEqual([one.repaired for one in mended.damage], [True])
 
     def test_segments_go_once_nothing_in_them_is_open(self) -> None:
         journal = self.again()
--- a/tests/test_limit_updates.py
+++ b/tests/test_limit_updates.py
@@ -21,7 +21,7 @@
 
 def known(limit: float = 100.0) -> SharedLimit:
     share = SharedLimit(200, ("x0", "x1"))
-    share.came(0)
+    share.message_arrived(0)
     share.observe(0, (0.5, limit), False)
     return share
 
--- a/tests/test_relay_rules.py
+++ b/tests/test_relay_rules.py
@@ -555,11 +555,11 @@
             number = relay.submit(first)
             self.assertIsInstance(number, int)
             other = Submission("a1", 1, 9, 100, None, b"other")
-            self.assertIs(relay.submit(other), Refusal.BEING_TAKEN)
+            self.assertIs(relay.submit(other), Refusal.BEING_SUBMITTED)
             self.assertEqual((await world.hand_in("a1")).status, 503)  # and its end withdraws nothing
             assert isinstance(number, int)
             relay.accept(number, first)
-            self.assertIs(relay.submit(other), Refusal.TAKEN)
+            self.assertIs(relay.submit(other), Refusal.ALREADY_ACCEPTED)
             await until(lambda: world.endpoint.requests)
         self.assertEqual(world.endpoint.requests[0].body, b"first")
 
--- a/tests/test_why_held.py
+++ b/tests/test_why_held.py
@@ -46,11 +46,11 @@
         courier.serve(30, took=50 * MS)  # so frequent that one refusal is no reason to rest
         courier.arrive()
         courier.settle(courier.next_id - 1, Outcome.FULL, wait=700 * MS)
-        self.assertEqual(self.why(courier), (Hold.TOLD_WAIT, 700 * MS))
+        self.assertEqual(self.why(courier), (Hold.RETRY_AFTER, 700 * MS))
         courier.wait(100 * MS)
-        self.assertEqual(self.why(courier), (Hold.TOLD_WAIT, 600 * MS))
+        self.assertEqual(self.why(courier), (Hold.RETRY_AFTER, 600 * MS))
         courier.arrive()  # for the whole destination
-        self.assertEqual(self.why(courier), (Hold.TOLD_WAIT, 600 * MS))
+        self.assertEqual(self.why(courier), (Hold.RETRY_AFTER, 600 * MS))
 
     def test_a_pace_after_a_refusal_without_a_wait(self) -> None:
         courier = made()
--- a/tests/tracing/test_exporters.py
+++ b/tests/tracing/test_exporters.py
@@ -188,7 +188,7 @@
             self.assertEqual([f.name for f in files], ["t.jsonl", "t.jsonl.1"])
             self.assertTrue(all(f.stat().st_size <= 20_000 for f in files))
             found = read_files(files)
-            numbers = [int(str(m.root.told("messaging.message.id"))[1:]) for m in found.messages]
+            numbers = [int(str(m.root.attribute("messaging.message.id"))[1:]) for m in found.messages]
             self.assertEqual((found.problems, sorted(numbers)), ([], list(range(min(numbers), 60))))
 
     def test_a_full_disk_drops_what_it_does_not_take_and_spoils_no_line(self) -> None:
--- a/tests/tracing/test_spans.py
+++ b/tests/tracing/test_spans.py
@@ -36,7 +36,7 @@
     facts.attempts += [first, second]
     facts.recovered_at, facts.end, facts.decided_at, facts.ended_at = 2_050.0, End.DELIVERED, 2_200.0, 2_201.0
     timeline = Timeline()
-    timeline.note(900.0, Hold.TOLD_WAIT, 1_400.0)
+    timeline.note(900.0, Hold.RETRY_AFTER, 1_400.0)
     timeline.note(1_400.0, Hold.SLOT, 0.0)
     return facts, timeline
 
