--- a/calicohitch/core/discovery_timeouts.py
+++ b/calicohitch/core/discovery_timeouts.py
@@ -33,7 +33,7 @@
         was not answered."""
         return _AT_ONCE_MS if at_once or self._pushed and self._silences else WATCH_MS
 
-    def limit_s(self, wait_ms: float) -> float:
+    def timeout_s(self, wait_ms: float) -> float:
         """After how long a question, which may wait for so long itself, was met by silence."""
         return wait_ms / 1e3 + (_PUSHED_S if self._pushed else _ASKED_S)
 
--- a/calicohitch/core/tasks.py
+++ b/calicohitch/core/tasks.py
@@ -10,7 +10,7 @@
 _PAUSE_S = 0.1
 
 
-async def restarted(run: Callable[[], Awaitable[None]]) -> None:
+async def restart_on_failure(run: Callable[[], Awaitable[None]]) -> None:
     """Run a task again whenever it breaks off or ends: a fault in one of them is not to end the relay."""
     while True:
         try:
--- a/calicohitch/failover/manager.py
+++ b/calicohitch/failover/manager.py
@@ -21,7 +21,7 @@
 from ..fleet.records import FailoverClaim, ReplicaHolder, Keys, Member, part_of
 from ..fleet.settings import CopyMode, FleetSettings
 from ..fleet.store import Store
-from ..fleet.ownership import Taken, Ownership
+from ..fleet.ownership import ReclaimedWork, Ownership
 from ..journal import Entry, Origin, payloads
 from ..recovery.problems import FolderProblem, NameTaken, WorkTaken
 from .choice import chosen
@@ -234,7 +234,7 @@
             )
         return lost
 
-    def _keep_out_of(self, taken: Taken) -> None:
+    def _keep_out_of(self, taken: ReclaimedWork) -> None:
         if taken.doubted:
             logger.bind(event="takeover.doubted").warning(
                 "the coordination store is not the one that this folder knew: what it holds may have been taken over "
--- a/calicohitch/failover/replication.py
+++ b/calicohitch/failover/replication.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class ReplicatedMessage:
     """An open message that is copied."""
 
     part: int
@@ -56,7 +56,7 @@
         self.links: dict[str, Link] = {}
         self.published: Parts = ((),) * parts
         self.pending: Parts = ((),) * parts
-        self._messages: dict[int, Kept] = {}
+        self._messages: dict[int, ReplicatedMessage] = {}
         self._seq = 0
         self.alone = 0  # messages taken on though too few hold copies
         self.stuck = 0  # links ended because their buffer was full
@@ -74,7 +74,7 @@
         self, number: int, part: int, waits: bool, payloads: Callable[[], Sequence[bytes]], needs: bool = False
     ) -> None:
         """From now on its records are copied."""
-        self._messages[number] = Kept(part, waits, payloads, needs)
+        self._messages[number] = ReplicatedMessage(part, waits, payloads, needs)
 
     def record(self, number: int, payload: bytes, now: float, over: bool = False) -> None:
         """One more record of a message; `over`: it is the last."""
--- a/calicohitch/fleet/membership.py
+++ b/calicohitch/fleet/membership.py
@@ -23,7 +23,7 @@
 from .roster import Roster
 from .settings import FleetSettings
 from .store import Changed, Compacted, Seen, Store, StoreError
-from .ownership import Kept, Step, Taken, Ownership, kept_bytes, kept_of
+from .ownership import StoredEpoch, Step, ReclaimedWork, Ownership, encode_stored_epoch, decode_stored_epoch
 
 T = TypeVar("T")
 _FILE = "fleet"
@@ -58,18 +58,18 @@
 
     # The folder.
 
-    def _read_kept(self) -> Kept:
+    def _read_kept(self) -> StoredEpoch:
         try:
-            return kept_of(self._path.read_bytes())
+            return decode_stored_epoch(self._path.read_bytes())
         except FileNotFoundError:
-            return Kept()
+            return StoredEpoch()
 
-    def keep(self, kept: Kept) -> None:
+    def keep(self, kept: StoredEpoch) -> None:
         """Note what the folder's messages belong to. Written beside, then renamed: a kill leaves the old or the new."""
         if kept == self.kept:
             return
         beside = self._path.with_suffix(".new")
-        beside.write_bytes(kept_bytes(kept))
+        beside.write_bytes(encode_stored_epoch(kept))
         os.replace(beside, self._path)
         self.kept = kept
 
@@ -155,7 +155,7 @@
 
     # A tenure.
 
-    async def begin(self) -> Taken:
+    async def begin(self) -> ReclaimedWork:
         """Register, and settle whose the folder's messages are. Tries until the store answers; NameTaken where another
         process keeps the name alive."""
         wait_until = self._now() + _NAME_WAIT_TTLS * self._set.ttl_ms
@@ -179,7 +179,7 @@
             if step is None or await self.commit(step):
                 break
             await self.read()
-        self.keep(Kept(self.ownership.epoch, False, self.roster.generation))
+        self.keep(StoredEpoch(self.ownership.epoch, False, self.roster.generation))
         await self.read()
         self.registered = True
         self._changed()
@@ -256,7 +256,7 @@
         if await self.commit(self.ownership.reassert(self.roster, lease)):
             self.lease = lease
             self.validity.renewed(sent)
-            self.keep(Kept(self.ownership.epoch, self.kept.published, self.roster.generation))
+            self.keep(StoredEpoch(self.ownership.epoch, self.kept.published, self.roster.generation))
         await self.read()
 
     async def _follow(self) -> None:
@@ -284,7 +284,7 @@
     async def publish(self, step: Step) -> bool | None:
         """Name holders of copies; noted in the folder first, since from then on others may claim."""
         if not self.kept.published:
-            self.keep(Kept(self.ownership.epoch, True, self.roster.generation))
+            self.keep(StoredEpoch(self.ownership.epoch, True, self.roster.generation))
         return await self.commit(step)
 
     async def leave(self) -> None:
--- a/calicohitch/fleet/ownership.py
+++ b/calicohitch/fleet/ownership.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class StoredEpoch:
     """What the folder knows of the fleet: the epoch that its messages belong to, whether copies of them were ever
     published, and the store's generation then."""
 
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class ReclaimedWork:
     """What of the folder's messages are this relay's again. `parts`: those that are; None for all. `doubted`: the store
     lost what it knew, so that others may have them as well."""
 
@@ -58,14 +58,14 @@
             "a new generation", roster.as_it_is(self.keys.generation), [Put(self.keys.generation, drawn.encode())]
         )
 
-    def taken_by(self, roster: Roster, kept: Kept) -> str:
+    def taken_by(self, roster: Roster, kept: StoredEpoch) -> str:
         """Why this relay cannot register now: another process is alive under its name; "" where it can."""
         there = roster.members.get(self.relay)
         if there is None or there.epoch == kept.epoch or there.epoch == self.epoch:
             return ""
         return f"a relay of the name {self.relay} is alive, in epoch {there.epoch}"
 
-    def register(self, roster: Roster, kept: Kept, lease: int) -> tuple[int, Step]:
+    def register(self, roster: Roster, kept: StoredEpoch, lease: int) -> tuple[int, Step]:
         """The next epoch, and what begins it."""
         epoch = max(roster.epochs.get(self.relay, 0), kept.epoch, self.epoch) + 1
         mine = self.keys.epoch(self.relay), self.keys.member(self.relay)
@@ -86,7 +86,7 @@
 
     # What became of the work of earlier epochs.
 
-    def resume(self, roster: Roster, kept: Kept) -> tuple[Taken, Step | None]:
+    def resume(self, roster: Roster, kept: StoredEpoch) -> tuple[ReclaimedWork, Step | None]:
         """Take up what the folder holds, as far as nobody has claimed it; and leave what it does not hold."""
         mine = roster.as_it_is(self.keys.member(self.relay), self.keys.epoch(self.relay))
         ops: list[Op] = []
@@ -99,24 +99,24 @@
         taken = self._of_folder(roster, kept, conditions, ops)
         return taken, Step("earlier work is taken up or left", conditions, ops) if ops else None
 
-    def _of_folder(self, roster: Roster, kept: Kept, conditions: list[Unless], ops: list[Op]) -> Taken:
+    def _of_folder(self, roster: Roster, kept: StoredEpoch, conditions: list[Unless], ops: list[Op]) -> ReclaimedWork:
         if not kept.epoch or not kept.published:
-            return Taken()
+            return ReclaimedWork()
         if kept.generation != roster.generation:
-            return Taken(doubted=True)
+            return ReclaimedWork(doubted=True)
         work, key = roster.works.get((self.relay, kept.epoch)), self.keys.work(self.relay, kept.epoch)
         if work is None:  # all of it was adopted, and that is long ago
-            return Taken(frozenset())
+            return ReclaimedWork(frozenset())
         conditions += roster.as_it_is(key)
         if work.state is State.OWNED:
             ops.append(Delete(key))
-            return Taken()
+            return ReclaimedWork()
         free = [part for part in range(len(work.parts)) if (self.relay, kept.epoch, part) not in roster.claims]
         for part in free:
             at = self.keys.claim(self.relay, kept.epoch, part)
             conditions += roster.as_it_is(at)
             ops.append(Put(at, write_record(FailoverClaim(self.relay, self.epoch, adopted=True))))
-        return Taken(frozenset(free))
+        return ReclaimedWork(frozenset(free))
 
     # While it goes on.
 
@@ -173,13 +173,13 @@
         return Step("work is handed over", roster.as_it_is(key, member), ops)
 
 
-def kept_of(data: bytes) -> Kept:
+def decode_stored_epoch(data: bytes) -> StoredEpoch:
     """What the folder's file says; nothing where it cannot be read."""
     try:
-        return msgspec.json.decode(data, type=Kept)
+        return msgspec.json.decode(data, type=StoredEpoch)
     except (msgspec.DecodeError, UnicodeDecodeError):
-        return Kept()
+        return StoredEpoch()
 
 
-def kept_bytes(kept: Kept) -> bytes:
+def encode_stored_epoch(kept: StoredEpoch) -> bytes:
     return msgspec.json.encode(kept)
--- a/calicohitch/intake/clients.py
+++ b/calicohitch/intake/clients.py
@@ -22,7 +22,7 @@
 from ..core.protocols import Refusal, Submission
 from ..net.head import Look
 from ..core.system_errors import OUT_OF_DESCRIPTORS, RETRY_PAUSE_S, Retry, Step, trouble
-from ..core.tasks import restarted
+from ..core.tasks import restart_on_failure
 from ..net.http import (
     Ambiguous,
     BodyTooLarge,
@@ -111,11 +111,11 @@
         try:
             async with anyio.create_task_group() as tasks:
                 self._tasks = tasks
-                tasks.start_soon(restarted, self._end_overdue)
-                tasks.start_soon(restarted, self._measure)
-                tasks.start_soon(restarted, self._tell)
+                tasks.start_soon(restart_on_failure, self._end_overdue)
+                tasks.start_soon(restart_on_failure, self._measure)
+                tasks.start_soon(restart_on_failure, self._tell)
                 self._listen(True)
-                await restarted(self._take_turns)
+                await restart_on_failure(self._take_turns)
         finally:
             self._listen(False)
             for session in list(self._by_fd.values()):
--- a/calicohitch/net/discovery.py
+++ b/calicohitch/net/discovery.py
@@ -308,7 +308,7 @@
         if self._version is not None:
             wait = self._timeouts.wait_ms(self._at_once)
             target = f"{target}?index={self._version}&wait={wait}"
-        response = await self._agent.request("GET", target, self._timeouts.limit_s(wait))
+        response = await self._agent.request("GET", target, self._timeouts.timeout_s(wait))
         if response.status != 200:
             raise ListError(f"the answer is {response.status}")
         told = json.loads(response.body)
--- a/calicohitch/net/endpoints.py
+++ b/calicohitch/net/endpoints.py
@@ -154,8 +154,8 @@
                 ended_well = wanted_still and (unsent or response is not None)
                 if made and response is None and connection.sent:
                     # It may have come in the turn in which the time was up. A wait that it tells runs from its writing.
-                    response = connection.look_once_more()
-                late = connection.told_at >= deadline
+                    response = connection.poll_response()
+                late = connection.answered_at >= deadline
                 self._give_back(pool, connection, ended_well)
             self._out[endpoint] -= 1
             if not self._out[endpoint]:
--- a/calicohitch/net/http.py
+++ b/calicohitch/net/http.py
@@ -262,7 +262,7 @@
         self._http: h11.Connection | None = None  # the usual response needs none
         self._body, self._interim = bytearray(), 0
 
-    def took(self, data: bytes, now: float) -> None:
+    def receive(self, data: bytes, now: float) -> None:
         self._came_at = now
         self._begins(self.start + data[: _FIRST_LINE - len(self.start)])
 
@@ -342,14 +342,14 @@
         return bool(self._reading.start)
 
     @property
-    def told_at(self) -> float:
+    def answered_at(self) -> float:
         """When the first line of the present response was read whole, in the loop's seconds."""
         return self._reading.told_at
 
-    def look_once_more(self) -> Response | None:
+    def poll_response(self) -> Response | None:
         """What is there of an answer that is not waited for any more: the answer, where it is whole or says 200."""
         if data := self._link.receive_some():
-            self._reading.took(data, anyio.current_time())
+            self._reading.receive(data, anyio.current_time())
             with suppress(h11.RemoteProtocolError, ConnectionResetError):
                 if response := self._reading.go_on(data):
                     return response
@@ -399,7 +399,7 @@
         data = await self._link.receive()
         if self.progress:
             self.progress(True)
-        self._reading.took(data, anyio.current_time())
+        self._reading.receive(data, anyio.current_time())
         return data
 
 
--- a/calicohitch/net/pending_ends.py
+++ b/calicohitch/net/pending_ends.py
@@ -31,7 +31,7 @@
     def __len__(self) -> int:
         return len(self._pending)
 
-    def owe(self, entry: Entry, end: End) -> None:
+    def add(self, entry: Entry, end: End) -> None:
         """Tell this end, behind its record where the disk still owes that."""
         notice = Notice(entry.number, entry.id, end)
         if self._journal.has_pending(entry.number) and self._now() < entry.deadline:
--- a/calicohitch/net/relay.py
+++ b/calicohitch/net/relay.py
@@ -26,7 +26,7 @@
 from ..core.change_notifier import ChangeNotifier
 from ..core.discovery_timeouts import DiscoveryTimeouts
 from ..core.protocols import Call, Replicator, Delivery, MessageEnd, EndKind, Refusal, Reply, Result, Submission
-from ..core.tasks import restarted
+from ..core.tasks import restart_on_failure
 from ..journal import Attempt, End, Entry, Journal, JournalFull
 from ..recovery import indeterminate
 from ..recovery.cached_state import MOST_MEMBERS
@@ -146,19 +146,19 @@
         """Take up what an earlier life left open, then serve."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
-            tasks.start_soon(restarted, self._ring)
-            tasks.start_soon(restarted, self._save_state_periodically)
-            tasks.start_soon(restarted, self._end_overdue)
-            tasks.start_soon(restarted, self._write_pending)
-            tasks.start_soon(restarted, self._notices.run)
+            tasks.start_soon(restart_on_failure, self._ring)
+            tasks.start_soon(restart_on_failure, self._save_state_periodically)
+            tasks.start_soon(restart_on_failure, self._end_overdue)
+            tasks.start_soon(restart_on_failure, self._write_pending)
+            tasks.start_soon(restart_on_failure, self._notices.run)
             for delivery in self._deliveries.values():
-                tasks.start_soon(restarted, delivery.run)
+                tasks.start_soon(restart_on_failure, delivery.run)
             if self._peers:
-                tasks.start_soon(restarted, self._peers.run)
+                tasks.start_soon(restart_on_failure, self._peers.run)
             if self._tracer:
-                tasks.start_soon(restarted, self._tracer.run)
+                tasks.start_soon(restart_on_failure, self._tracer.run)
             self._read_known()
-            tasks.start_soon(restarted, self._discovery.run)
+            tasks.start_soon(restart_on_failure, self._discovery.run)
             if self._replicator:
                 tasks.start_soon(self._replicator.run)
             # The list in the configuration may be old, and an endpoint on it drain by now: nothing is sent
@@ -645,7 +645,7 @@
             self._remember(message.entry)
             return
         self._record_end(message.entry, end)
-        self._pending_ends.owe(message.entry, end)
+        self._pending_ends.add(message.entry, end)
 
     def _record_end(self, entry: Entry, end: End) -> None:
         try:
@@ -737,7 +737,7 @@
             if self._tracer:
                 self._tracer.recovered(entry)
             if entry.end:
-                self._pending_ends.owe(entry, entry.end)
+                self._pending_ends.add(entry, entry.end)
             else:
                 self._open[entry.number] = _Open(entry, accepted=True)
                 self._by_id[entry.id] = entry.number
--- a/calicohitch/recovery/folder_lease.py
+++ b/calicohitch/recovery/folder_lease.py
@@ -184,7 +184,7 @@
         self._since = 0.0  # it was first seen so
         self.why = ""
 
-    def look(self) -> FolderLease | None:
+    def try_acquire(self) -> FolderLease | None:
         """FolderProblem where the folder cannot be used at all."""
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
@@ -252,7 +252,7 @@
     while True:
         problem: FolderProblem
         try:
-            if lease := monitor.look():
+            if lease := monitor.try_acquire():
                 return lease
             problem = FolderInUse(
                 f"the folder {folder} is in use: {monitor.why}. Stop that process, or give this "
--- a/calicohitch/tracing/sampling.py
+++ b/calicohitch/tracing/sampling.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept(Generic[Item]):
+class SampledTrace(Generic[Item]):
     item: Item
     cause: Cause
     adjusted: float  # so many messages does this one stand for
@@ -145,7 +145,7 @@
         """When the present window is over; None where nothing waits."""
         return self._window_ends
 
-    def take(self, now: float, all_of_it: bool = False) -> list[Kept[Item]]:
+    def take(self, now: float, all_of_it: bool = False) -> list[SampledTrace[Item]]:
         """What is kept of a window that is over (or of this one, at a stop), each with what it stands for."""
         if self._window_ends is None or not all_of_it and now < self._window_ends:
             return []
@@ -153,7 +153,7 @@
         for (cause, _), stratum in self._strata.items():
             share = self._budget.ordinary if cause is Cause.ORDINARY else 1.0
             weight = stratum.seen / share / len(stratum.items) if stratum.items else 0.0
-            kept += [Kept(item, cause, weight) for item, _, _ in stratum.items]
+            kept += [SampledTrace(item, cause, weight) for item, _, _ in stratum.items]
             self.kept[cause] += len(stratum.items)
         self._strata, self._spans, self._bytes, self._window_ends = {}, 0, 0, None
         return kept
--- a/calicohitch/tracing/tracer.py
+++ b/calicohitch/tracing/tracer.py
@@ -30,7 +30,7 @@
 from .export.queue import ExportQueue
 from .facts import AttemptFacts, End, Facts, Timeline
 from .ledger import Ledger
-from .sampling import Kept, Sampler, cause_of, in_share
+from .sampling import SampledTrace, Sampler, cause_of, in_share
 from .settings import TracingSettings
 from .spans import Span, Value, attempt_span_id, cost, spans_of
 
@@ -92,7 +92,7 @@
         self._fresh: list[int] = []  # messages whose reason was not asked for yet
         self._touched: dict[int, None] = {}
         self._wakes: list[tuple[float, int]] = []
-        self._made: deque[Kept[Facts]] = deque()
+        self._made: deque[SampledTrace[Facts]] = deque()
         self._unmade_dropped = 0
         self.faults: Counter[str] = Counter()
         self._resource: dict[str, Value] = {
--- a/tests/failover/model.py
+++ b/tests/failover/model.py
@@ -12,7 +12,7 @@
 from calicohitch.fleet.lease_validity import LeaseValidity, LeaseTerm
 from calicohitch.fleet.records import FailoverClaim, Keys, Member, part_of
 from calicohitch.fleet.roster import Roster
-from calicohitch.fleet.ownership import Kept, Step, Taken, Ownership
+from calicohitch.fleet.ownership import StoredEpoch, Step, ReclaimedWork, Ownership
 from calicohitch.failover import frames
 from calicohitch.failover.choice import chosen
 from calicohitch.failover.claims import Claims
@@ -39,7 +39,7 @@
     """What outlasts a process."""
 
     messages: dict[str, Message] = field(default_factory=dict)
-    kept: Kept = Kept()
+    kept: StoredEpoch = StoredEpoch()
     replicas: dict[tuple[str, int], Held] = field(default_factory=dict)
 
 
@@ -191,11 +191,11 @@
             self.ownership.epoch = 0
             self.disk.kept = replace(kept)
             return
-        self.disk.kept = Kept(epoch, False, self.roster.generation)
+        self.disk.kept = StoredEpoch(epoch, False, self.roster.generation)
         self.read()
         self._restore(kept, taken)
 
-    def _restore(self, kept: Kept, taken: Taken) -> None:
+    def _restore(self, kept: StoredEpoch, taken: ReclaimedWork) -> None:
         for message in list(self.disk.messages.values()):
             lost = taken.parts is not None and part_of(message.id, PARTS) not in taken.parts
             if message.origin and not message.confirmed:
@@ -226,7 +226,7 @@
             self.lease = self.world.store.grant_now(TTL)
             if self.commit(self.ownership.reassert(self.roster, self.lease)):
                 self.validity.renewed(sent)
-                self.disk.kept = Kept(self.ownership.epoch, self.disk.kept.published, self.roster.generation)
+                self.disk.kept = StoredEpoch(self.ownership.epoch, self.disk.kept.published, self.roster.generation)
             self.read()
             return
         self.validity.renewed(sent)
--- a/tests/failover/test_decisions.py
+++ b/tests/failover/test_decisions.py
@@ -27,7 +27,7 @@
 )
 from calicohitch.fleet.roster import Roster
 from calicohitch.fleet.store import Put
-from calicohitch.fleet.ownership import Kept, Taken, Ownership
+from calicohitch.fleet.ownership import StoredEpoch, ReclaimedWork, Ownership
 from calicohitch.journal import Attempt, Entry, Journal, Origin, payloads
 from calicohitch.failover import frames
 from calicohitch.failover.choice import chosen, ranked
@@ -252,15 +252,15 @@
     def read(self) -> None:
         self.roster.replace(self.store.read_now(KEYS.prefix), 0.0)
 
-    def registered(self, kept: Kept | None = None) -> int:
-        kept = kept or Kept()
+    def registered(self, kept: StoredEpoch | None = None) -> int:
+        kept = kept or StoredEpoch()
         epoch, step = self.ownership.register(self.roster, kept, 0)
         self.assertTrue(self.store.commit_now(step.conditions, step.ops))
         self.ownership.begun(epoch)
         self.read()
         return epoch
 
-    def resumed(self, kept: Kept) -> Taken:
+    def resumed(self, kept: StoredEpoch) -> ReclaimedWork:
         taken, step = self.ownership.resume(self.roster, kept)
         if step:
             self.assertTrue(self.store.commit_now(step.conditions, step.ops))
@@ -272,33 +272,33 @@
 
     def test_epochs_grow_whatever_is_known(self) -> None:
         self.assertEqual(self.registered(), 1)
-        self.assertEqual(self.registered(Kept(7)), 8)
+        self.assertEqual(self.registered(StoredEpoch(7)), 8)
         self.ownership = Ownership(KEYS, "r0", 2, Member(0, 2, "h:1"))
         self.assertEqual(self.registered(), 9)
 
     def test_a_folder_that_nobody_claimed_is_taken_up_whole(self) -> None:
-        kept = Kept(1, True, "g")
+        kept = StoredEpoch(1, True, "g")
         self.registered(), self.work(1), self.registered(kept)
-        self.assertEqual(self.resumed(kept), Taken())
+        self.assertEqual(self.resumed(kept), ReclaimedWork())
         self.assertNotIn(("r0", 1), self.roster.works)
 
     def test_of_a_claimed_folder_only_what_nobody_claimed(self) -> None:
-        kept = Kept(1, True, "g")
+        kept = StoredEpoch(1, True, "g")
         self.registered(), self.work(1, State.LEFT)
         self.put(KEYS.claim("r0", 1, 0), write_record(FailoverClaim("r1", 1)))
         self.registered(kept)
-        self.assertEqual(self.resumed(kept), Taken(frozenset({1})))
+        self.assertEqual(self.resumed(kept), ReclaimedWork(frozenset({1})))
         self.assertEqual(self.roster.claims["r0", 1, 1], FailoverClaim("r0", 2, adopted=True))
 
     def test_a_folder_whose_work_is_gone_from_the_store_was_adopted_long_ago(self) -> None:
-        self.registered(Kept(1, True, "g"))
-        self.assertEqual(self.resumed(Kept(1, True, "g")), Taken(frozenset()))
-        self.assertEqual(self.resumed(Kept(1, False, "g")), Taken())  # nobody ever held copies of it
-        self.assertEqual(self.resumed(Kept(1, True, "old")), Taken(doubted=True))
+        self.registered(StoredEpoch(1, True, "g"))
+        self.assertEqual(self.resumed(StoredEpoch(1, True, "g")), ReclaimedWork(frozenset()))
+        self.assertEqual(self.resumed(StoredEpoch(1, False, "g")), ReclaimedWork())  # nobody ever held copies of it
+        self.assertEqual(self.resumed(StoredEpoch(1, True, "old")), ReclaimedWork(doubted=True))
 
     def test_a_lost_folder_leaves_its_work_to_the_holders(self) -> None:
         self.registered(), self.work(1), self.registered()
-        self.resumed(Kept())
+        self.resumed(StoredEpoch())
         self.assertEqual(self.roster.works["r0", 1].state, State.LEFT)
 
     def test_a_tenure_is_passed_by_a_later_epoch_or_a_claim_and_not_by_a_lost_lease(self) -> None:
@@ -306,7 +306,7 @@
         self.work(1)
         self.assertEqual(self.ownership.look(self.roster), "")
         other = Ownership(KEYS, "r0", 2, Member(0, 5, "h:9"))
-        epoch, step = other.register(self.roster, Kept(), 0)
+        epoch, step = other.register(self.roster, StoredEpoch(), 0)
         self.store.commit_now(step.conditions, step.ops)
         self.read()
         self.assertIn("a later one has begun", self.ownership.look(self.roster))
@@ -314,8 +314,8 @@
     def test_another_of_its_name_is_seen_unless_it_has_this_folder(self) -> None:
         self.registered()
         later = Ownership(KEYS, "r0", 2, Member(0, 2, "h:1"))
-        self.assertIn("is alive, in epoch 1", later.taken_by(self.roster, Kept(0)))
-        self.assertEqual(later.taken_by(self.roster, Kept(1)), "")
+        self.assertIn("is alive, in epoch 1", later.taken_by(self.roster, StoredEpoch(0)))
+        self.assertEqual(later.taken_by(self.roster, StoredEpoch(1)), "")
 
     def test_records_that_cannot_be_read_are_left_alone(self) -> None:
         for value in (b"", b"{", b"null", b'{"epoch":"x"}', b"\xff", b"[" * 10_000):
--- a/tests/failover/test_model_mutants.py
+++ b/tests/failover/test_model_mutants.py
@@ -13,7 +13,7 @@
 from unittest import mock
 
 from calicohitch.fleet.lease_validity import LeaseValidity, LeaseTerm
-from calicohitch.fleet.ownership import Taken, Ownership
+from calicohitch.fleet.ownership import ReclaimedWork, Ownership
 from calicohitch.failover.claims import Claims
 from calicohitch.failover.replication import Replication
 from failover.test_model import NAMES, STEPS, Schedule
@@ -50,7 +50,7 @@
     "holders do not keep still": lambda: mock.patch.object(Claims, "opens_at", at_once),
     "copies are not waited for": lambda: mock.patch.object(Replication, "is_safe", lambda self, number: True),
     "a claimed folder is taken up": lambda: mock.patch.object(
-        Ownership, "_of_folder", lambda self, roster, kept, conditions, ops: Taken()
+        Ownership, "_of_folder", lambda self, roster, kept, conditions, ops: ReclaimedWork()
     ),
     "a passed tenure goes on": lambda: mock.patch.object(Ownership, "look", lambda self, roster: ""),
 }
--- a/tests/faults/test_folder.py
+++ b/tests/faults/test_folder.py
@@ -55,7 +55,7 @@
             ("unlink", errno.EIO),
         ):
             with self.subTest(call=name, error=errno.errorcode[error]):
-                LeaseMonitor(self.folder).look().close()  # type: ignore[union-attr]
+                LeaseMonitor(self.folder).try_acquire().close()  # type: ignore[union-attr]
                 with mock.patch.object(os, name, for_a_while(getattr(os, name), error)):
                     lease = anyio.run(acquire_folder, self.folder, 5.0)
                 lease.check()
@@ -111,7 +111,7 @@
         return LeaseMonitor(self.folder, self.mono, self.wall)
 
     def test_a_claim_is_proved_without_the_disk(self) -> None:
-        owner = self.monitor().look()
+        owner = self.monitor().try_acquire()
         assert owner
         self.addCleanup(owner.close)
         journal = Journal(self.folder, 3e6, owner.incarnation, owner.check)
@@ -130,23 +130,23 @@
 
     def test_a_life_that_was_begun_in_vain_takes_nothing_away(self) -> None:
         """The disk lets neither the owner's file go nor the new one: the owner goes on, and is still in the way."""
-        owner, other = self.monitor().look(), self.monitor()
+        owner, other = self.monitor().try_acquire(), self.monitor()
         assert owner
         self.addCleanup(owner.close)
-        self.assertIsNone(other.look())
+        self.assertIsNone(other.try_acquire())
         self.mono.now += EXPIRED_S + 0.1
         with mock.patch("os.unlink", side_effect=OSError(errno.EIO, "Input/output error")):
             with self.assertRaises(FolderProblem):
-                other.look()
+                other.try_acquire()
         owner.check()
         owner.renew()
         owner.check()
         third = self.monitor()
-        self.assertIsNone(third.look())
+        self.assertIsNone(third.try_acquire())
         self.assertIn(f"life {owner.incarnation} ", third.why)
 
     def test_whoever_was_replaced_meanwhile_sends_nothing(self) -> None:
-        owner, other = self.monitor().look(), self.monitor()
+        owner, other = self.monitor().try_acquire(), self.monitor()
         assert owner
         self.addCleanup(owner.close)
         journal = Journal(self.folder, 3e6, owner.incarnation, owner.check)
@@ -154,10 +154,10 @@
         refuses = OSError(errno.EIO, "Input/output error")
         real = os.pwrite
         with mock.patch.object(os, "pwrite", lambda fd, *rest: self._unless(fd == owner._fd, refuses, real, fd, *rest)):
-            self.assertIsNone(other.look())
+            self.assertIsNone(other.try_acquire())
             self.mono.now += EXPIRED_S + 0.1
             owner.renew()
-            later = other.look()
+            later = other.try_acquire()
             assert later
             self.addCleanup(later.close)
             self.assertFalse(journal.may_act())
--- a/tests/faults/test_sweep.py
+++ b/tests/faults/test_sweep.py
@@ -93,7 +93,7 @@
     for _ in range(TRIES):
         lease: FolderLease | None = None
         try:
-            lease = LeaseMonitor(folder).look()
+            lease = LeaseMonitor(folder).try_acquire()
             if lease is None:
                 raise Broken("the folder's owner is dead, and in the way")
             opened = Journal(folder, DISK, lease.incarnation, lease.check, complete=True)
--- a/tests/orders/test_list.py
+++ b/tests/orders/test_list.py
@@ -32,7 +32,7 @@
         timeouts = DiscoveryTimeouts(not pushed, Backoff(couriers, seed))
         now = 0.0
         for _ in range(silent):
-            now += timeouts.limit_s(timeouts.wait_ms(at_once=False))
+            now += timeouts.timeout_s(timeouts.wait_ms(at_once=False))
             now += timeouts.pause_s(silent=True)
         return now
 
@@ -52,7 +52,7 @@
             timeouts = DiscoveryTimeouts(False, Backoff(couriers, couriers))
             for _ in range(100):
                 self.assertLessEqual(timeouts.pause_s(silent=True), 0.2)
-                self.assertLessEqual(timeouts.limit_s(timeouts.wait_ms(at_once=False)), 0.8)
+                self.assertLessEqual(timeouts.timeout_s(timeouts.wait_ms(at_once=False)), 0.8)
 
     def test_who_was_answered_waits_for_news_again(self) -> None:
         timeouts = DiscoveryTimeouts(False, Backoff(3, 1))
--- a/tests/recovery/test_folder_lease.py
+++ b/tests/recovery/test_folder_lease.py
@@ -42,7 +42,7 @@
         return LeaseMonitor(self.folder, self.mono, self.wall)
 
     def began(self) -> FolderLease:
-        lease = self.monitor().look()
+        lease = self.monitor().try_acquire()
         assert lease
         self.addCleanup(lease.close)
         return lease
@@ -62,7 +62,7 @@
         for _ in range(40):
             self.mono.now += 0.5
             owner.renew()
-            self.assertIsNone(other.look())
+            self.assertIsNone(other.try_acquire())
         self.assertIn(f"life {owner.incarnation} (process {os.getpid()}) has it and is alive", other.why)
         owner.check()
 
@@ -73,11 +73,11 @@
 
     def test_a_stalled_owner_is_replaced_and_finds_out_before_its_next_act(self) -> None:
         owner, other = self.began(), self.monitor()
-        self.assertIsNone(other.look())
+        self.assertIsNone(other.try_acquire())
         self.mono.now += EXPIRED_S - 0.1
-        self.assertIsNone(other.look())
+        self.assertIsNone(other.try_acquire())
         self.mono.now += 0.2
-        later = other.look()
+        later = other.try_acquire()
         assert later
         self.addCleanup(later.close)
         told: list[str] = []
@@ -94,10 +94,10 @@
 
     def test_a_watcher_that_stalls_itself_believes_only_what_it_sees_now(self) -> None:
         owner, other = self.began(), self.monitor()
-        self.assertIsNone(other.look())
+        self.assertIsNone(other.try_acquire())
         self.mono.now += 60.0  # both stood still; the owner goes on first
         owner.renew()
-        self.assertIsNone(other.look())
+        self.assertIsNone(other.try_acquire())
 
     def test_an_emptied_folder_is_no_longer_owned(self) -> None:
         owner = self.began()
@@ -135,7 +135,7 @@
         file = self.folder.parent / "file"
         file.write_text("")
         with self.assertRaisesRegex(FolderProblem, "not a folder: move the file away"):
-            LeaseMonitor(file).look()
+            LeaseMonitor(file).try_acquire()
         for code, hint in (
             (errno.EROFS, "mount it writable"),
             (errno.EACCES, "may not write there"),
@@ -144,7 +144,7 @@
         ):
             with self.subTest(hint), mock.patch("os.open", side_effect=OSError(code, os.strerror(code))):
                 with self.assertRaisesRegex(FolderProblem, hint):
-                    self.monitor().look()
+                    self.monitor().try_acquire()
 
     def test_waiting_is_bounded(self) -> None:
         async def test() -> None:
@@ -166,7 +166,7 @@
         for last in range(1, 40):
             with tempfile.TemporaryDirectory() as name:
                 folder = Path(name)
-                lease = LeaseMonitor(folder).look()
+                lease = LeaseMonitor(folder).try_acquire()
                 assert lease
                 journal = Journal(folder, 3e6, lease.incarnation, lease.check)
                 kept = Entry(journal.next_number, "m", "orders", 7, 5e12, None, b"body")
@@ -190,7 +190,7 @@
                 held: list[int] = []
                 with mock.patch.multiple(os, **{each: counted(each) for each in real}):
                     try:
-                        second = LeaseMonitor(folder).look()
+                        second = LeaseMonitor(folder).try_acquire()
                         assert second
                         held.append(second._fd)
                         again = Journal(folder, 3e6, second.incarnation, second.check)
@@ -201,7 +201,7 @@
                         pass
                 for fd in held:
                     os.close(fd)
-                third = LeaseMonitor(folder).look()
+                third = LeaseMonitor(folder).try_acquire()
                 assert third
                 self.assertGreater(third.incarnation, lease.incarnation)
                 found = Journal(folder, 3e6, third.incarnation)
@@ -237,7 +237,7 @@
 
     @rule(which=st.integers(0, 2))
     def looks(self, which: int) -> None:
-        if lease := self.monitors[which].look():
+        if lease := self.monitors[which].try_acquire():
             self.leases.append(lease)
 
     @precondition(lambda self: self.leases)
--- a/tests/tracing/test_sampling.py
+++ b/tests/tracing/test_sampling.py
@@ -11,7 +11,7 @@
 
 from calicohitch.tracing.context import TraceContext
 from calicohitch.tracing.facts import AttemptFacts, End, Facts
-from calicohitch.tracing.sampling import Cause, Kept, Sampler, cause_of, in_share
+from calicohitch.tracing.sampling import Cause, SampledTrace, Sampler, cause_of, in_share
 from calicohitch.tracing.settings import Budget
 
 Item = tuple[Cause, int, int]  # cause, destination, number
@@ -21,7 +21,7 @@
     return Sampler(budget, seed, lambda _: (spans, 100 * spans))
 
 
-def run(made: Sampler[Item], items: list[Item], now: float = 0.0) -> list[Kept[Item]]:
+def run(made: Sampler[Item], items: list[Item], now: float = 0.0) -> list[SampledTrace[Item]]:
     for cause, dest, n in items:
         made.offer(now, cause, dest, n.to_bytes(16, "big"), (cause, dest, n))
     return made.take(now + 1_000)
