--- a/calicohitch/core/backoff.py
+++ b/calicohitch/core/backoff.py
@@ -11,7 +11,7 @@
 _CALLS_PER_S = 3.0  # that all callers together make in the end: what comes faster than a server answers waits in its
 # line until their callers have left, and are then answered in vain, so that it stays overbooked without any new load
 _SHORTEST_S, _LONGEST_S = 0.1, 16.0
-_FIRST_S = 1.25  # what is to be told counts as told after 6 s, and a watch is found silent after 4.5: see `patience`
+_FIRST_S = 1.25  # a change counts as told after 6 s, and a watch is found silent after 4.5: see `discovery_timeouts`
 
 
 class Backoff:
--- a/calicohitch/fleet/lease_validity.py
+++ b/calicohitch/fleet/lease_validity.py
@@ -39,7 +39,7 @@
 
 
 class LeaseValidity:
-    """One relay's. `renewed` and `heard` tell of confirmations by when that which they confirm was sent."""
+    """One relay's. `renewed` and `acknowledged` tell of confirmations by when that which they confirm was sent."""
 
     def __init__(self, term: LeaseTerm) -> None:
         self._term = term
--- a/calicohitch/net/discovery.py
+++ b/calicohitch/net/discovery.py
@@ -74,7 +74,7 @@
         self._dests: set[int] = set()
         self._newest = -1
         self._ahead: dict[str, Member] = {}  # lines of the next list that were read ahead, by name
-        self._stored: list[dict[str, Any]] | None = None  # what `told` gives, until the list changes
+        self._stored: list[dict[str, Any]] | None = None  # what `storable_members` gives, until the list changes
         self._left: dict[str, int] = {}  # who was told to drain or to be gone -> its last start, in microseconds
 
     def knows(self, dest: int) -> bool:
--- a/tests/tracing/test_tracer.py
+++ b/tests/tracing/test_tracer.py
@@ -36,7 +36,7 @@
         self.taking(1)
         self.tracer.submission_recorded(1)
         self.taking(2)
-        self.tracer.withdrawn(2)  # the journal was full: `taken` never came
+        self.tracer.withdrawn(2)  # the journal was full: `submission_recorded` never came
         self.assertEqual(self.live(), 1)
         self.tracer.withdrawn(1)
         self.assertEqual(self.live(), 0)
