--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -102,10 +102,10 @@
 
     def test_ids_keep_their_numbers_and_addresses_may_move(self) -> None:
         update = self.read(member("127.0.0.1:1", "s-1"), member("127.0.0.1:2", "s-2"))
-        self.assertEqual(update.told().kind, ListKind.FULL)
+        self.assertEqual(update.event().kind, ListKind.FULL)
         first = update.entries[0].endpoint
         moved = self.read(member("127.0.0.1:9", "s-1"), complete=False)
-        self.assertEqual((moved.told().kind, moved.entries[0].endpoint), (ListKind.DELTA, first))
+        self.assertEqual((moved.event().kind, moved.entries[0].endpoint), (ListKind.DELTA, first))
         there = self.directory.get(first)
         self.assertEqual(there and there.address, Address("127.0.0.1", 9))
         self.assertIsNotNone(self.directory.get(update.entries[1].endpoint))
--- a/tests/tracing/test_spans.py
+++ b/tests/tracing/test_spans.py
@@ -211,7 +211,7 @@
 
     def test_filters_and_weights(self) -> None:
         late = [m for m in self.messages() if asking.Filter(class_name="scores", late=True).matches(m)]
-        self.assertEqual([str(m.root.told("messaging.message.id")) for m in late], ["m0"])
+        self.assertEqual([str(m.root.attribute("messaging.message.id")) for m in late], ["m0"])
         (row,) = asking.lost_time(self.messages())
         self.assertEqual((row.what, row.ms, row.messages), ("own work", 120.0, 12.0))
 
