--- a/calicohitch/commands/traces.py
+++ b/calicohitch/commands/traces.py
@@ -239,13 +239,15 @@
 def _note(span: Any) -> str:
     told = []
     if span.is_attempt:
-        told.append("cut by a death" if span.told("calicohitch.cut") else str(span.told("calicohitch.outcome", "")))
-        if status := span.told("http.response.status_code"):
+        told.append(
+            "cut by a death" if span.attribute("calicohitch.cut") else str(span.told("calicohitch.outcome", ""))
+        )
+        if status := span.attribute("http.response.status_code"):
             told.append(str(status))
-        if wait := span.told("calicohitch.told_wait_ms"):
+        if wait := span.attribute("calicohitch.told_wait_ms"):
             told.append(f"told to wait {float(wait):.0f} ms")
-        if connection := span.told("calicohitch.connection"):
+        if connection := span.attribute("calicohitch.connection"):
             told.append(f"{connection} connection")
-        if span.told("calicohitch.earlier_life"):
+        if span.attribute("calicohitch.earlier_life"):
             told.append("of an earlier life")
     return ", ".join(part for part in told if part)
