--- a/calicohitch/commands/traces.py
+++ b/calicohitch/commands/traces.py
@@ -240,7 +240,7 @@
     told = []
     if span.is_attempt:
         told.append(
-            "cut by a death" if span.attribute("calicohitch.cut") else str(span.told("calicohitch.outcome", ""))
+            "cut by a death" if span.attribute("calicohitch.cut") else str(span.attribute("calicohitch.outcome", ""))
         )
         if status := span.attribute("http.response.status_code"):
             told.append(str(status))
