--- a/calicohitch/decision_state.py
+++ b/calicohitch/decision_state.py
@@ -1,6 +1,7 @@
-"""What a DecisionEngine remembers of messages, calls, endpoints, routes and destinations.
+"""State of the `DecisionEngine`: messages, calls, endpoints, routes and destinations.
 
-Records and sums only; what follows from them is decided in `decisions.py`. Times are microseconds.
+The classes keep records and sums; the decisions that follow from them are made in `decisions.py`. Times are in
+microseconds.
 """
 
 from __future__ import annotations
@@ -14,112 +15,118 @@
 from .core.limit_share import LimitShare
 from .interface import Arrived, Hold, Listed, MessageClass, Outcome, RestoredRoute, Tenant
 
-MEAN_GAIN = 0.15  # share: weight of a new latency in the mean; about the last dozen calls count
+LATENCY_GAIN = 0.15  # weight of a new latency in the mean, so that about the last dozen calls count
 SECOND = 1_000_000  # microseconds
-PACE_SPAN = 2 * SECOND  # span over which accepted calls are counted: the longest usual span of a limit
-STALL = 4  # mean latencies without any answer until a route counts as silent
-GROW = 0.1  # share by which the pace grows each second without a refusal
-PACE_END = 5  # seconds: without a refusal for so long, pacing ends
-ROOM = 0.9  # share of the holding room above which the least worth is given up
-SHARED = -1  # name of the one route of a destination whose endpoints are not routes apart
+ACCEPTED_SPAN_US = 2 * SECOND  # accepted calls are counted over the longest usual span of a rate limit
+SILENT_LATENCIES = 4  # mean latencies without any answer after which a route counts as silent
+PACE_GROWTH_PER_S = 0.1  # share by which the pace grows each second without a refusal
+PACE_DURATION_S = 5  # pacing ends after this time without a refusal
+OPEN_CAP_SHARE = 0.9  # share of `open_cap` above which the least valuable messages are given up
+SHARED_ROUTE = -1  # key of the only route of a destination whose endpoints share one route
 
 
-def conformance(recent: Sequence[bool]) -> float:  # c: the share of recent endings served before their aim
+def conformance(recent: Sequence[bool]) -> float:
+    """The conformance c of a class: the share of its recent messages that were delivered before their aim."""
     return sum(recent) / len(recent) if recent else 1.0
 
 
-def smoothed(mean: float | None, took: float) -> float:  # a mean with one more call in it
-    return float(took) if mean is None else mean + MEAN_GAIN * (took - mean)
+def smoothed(mean: float | None, took: float) -> float:
+    """The exponential moving average `mean` after one more call that took `took`."""
+    return float(took) if mean is None else mean + LATENCY_GAIN * (took - mean)
 
 
-def before(line: Sequence[Message], aim: float, or_at: bool = False) -> int:
-    """How many of a line, which lies in the order of its aims, have theirs before `aim`."""
-    return (bisect_right if or_at else bisect_left)(line, aim, key=lambda message: message.aim_at)
+def count_before(queue: Sequence[Message], aim: float, inclusive: bool = False) -> int:
+    """How many messages of a queue in order of aim have their aim before `aim`, or at it where `inclusive`."""
+    return (bisect_right if inclusive else bisect_left)(queue, aim, key=lambda message: message.aim_at)
 
 
-def room_of(open_cap: int) -> float:
-    """How many messages may be open before the least worth is given up; one, where the cap is tiny."""
-    return max(1.0, min(open_cap - 2, ROOM * open_cap))
+def open_limit(open_cap: int) -> float:
+    """How many messages may be open before the least valuable are given up; at least one, where the cap is tiny."""
+    return max(1.0, min(open_cap - 2, OPEN_CAP_SHARE * open_cap))
 
 
-class Allowances:
-    """This courier's own parts of the tenants' shares: what comes past them is worth little."""
+class TenantQuotas:
+    """This relay's parts of the tenants' quotas, as token buckets. Messages above a quota count for less."""
 
-    def __init__(self, tenants: Sequence[Tenant], couriers: int) -> None:
-        self._quotas = [tenant.quota_per_s / couriers for tenant in tenants]
-        self._left: dict[int, tuple[float, int]] = {}
+    def __init__(self, tenants: Sequence[Tenant], relays: int) -> None:
+        self._quotas = [tenant.quota_per_s / relays for tenant in tenants]
+        self._buckets: dict[int, tuple[float, int]] = {}  # tenant -> tokens, time of the last update
 
     def take(self, tenant: int, now: int) -> bool:
-        """Whether one more message of the tenant lies inside its share; true of who has none."""
+        """Whether one more message of the tenant is within its quota; always true for a tenant without a quota."""
         if tenant >= len(self._quotas):
             return True
         quota = self._quotas[tenant]
-        tokens, at = self._left.get(tenant, (0.0, 0))
-        tokens = min(2 * quota, tokens + quota * (now - at) / SECOND)
-        self._left[tenant] = (max(0.0, tokens - 1), now)
+        tokens, updated_at = self._buckets.get(tenant, (0.0, 0))
+        tokens = min(2 * quota, tokens + quota * (now - updated_at) / SECOND)
+        self._buckets[tenant] = (max(0.0, tokens - 1), now)
         return tokens >= 1
 
 
 @dataclass(eq=False)
 class Call:
-    """One call out: the messages that travel in it share its slot and its fate."""
+    """A call in flight. The messages sent in it share its slot and its fate; each may bring its own retry-after."""
 
     endpoint: Endpoint
     sent_at: int
-    left: int = 0  # messages in it without an outcome
-    told: bool = False  # its outcome was learned from
-    again: bool = False  # a message in it was refused before
+    pending: int = 0  # messages without an outcome
+    learned: bool = False  # whether its first outcome has been learned from
+    is_retry: bool = False  # whether a message in it was refused before
 
 
 class Message:
-    """An open message: taken and not yet finally answered, or with an attempt still out."""
+    """An open message: accepted and without a final answer, or with an attempt in flight."""
 
-    def __init__(self, told: Arrived, cls: MessageClass, now: int, worth: float) -> None:
-        self.id, self.dest, self.cls, self.worth, self.told = told.message, told.dest, cls, worth, told
-        self.deadline_at = now + told.time_left
+    def __init__(self, arrival: Arrived, cls: MessageClass, now: int, worth: float) -> None:
+        self.id, self.dest, self.cls, self.worth, self.arrival = arrival.message, arrival.dest, cls, worth, arrival
+        self.deadline_at = now + arrival.time_left
         self.aim_at = self.deadline_at - cls.deadline + cls.aim
-        self.attempts = len(told.earlier)
-        self.over = False
+        self.attempts = len(arrival.earlier)
+        self.finished = False
         self.refused = False  # by its last attempt
         self.rank: tuple[bool, bool, float, bool] = (False, False, 0.0, False)
-        self.room = math.inf  # its lowest rank for room since it is held
+        self.eviction_rank = math.inf  # the lowest since it is held
         self.calls: dict[int, Call] = {}
         self.may_have_run = {  # attempt -> time sent, zone
-            n: (was.sent_at, was.zone) for n, was in enumerate(told.earlier) if was.may_have_run
+            n: (earlier.sent_at, earlier.zone) for n, earlier in enumerate(arrival.earlier) if earlier.may_have_run
         }
         self.last: Endpoint | None = None
-        self.owed = told.restored and not self.may_have_run  # a call: an earlier life took it on, and made none
+        self.call_pending = arrival.restored and not self.may_have_run  # accepted by an earlier run that did not call
 
-    def alike(self) -> tuple[int, float, bool, bool]:
-        """What a held message shares with those that differ from it in their times alone."""
-        return self.told.class_index, self.worth, self.attempts > 0, self.owed
+    def queue_key(self) -> tuple[int, float, bool, bool]:
+        """The properties that the held messages of one queue share; they differ only in their times."""
+        return self.arrival.class_index, self.worth, self.attempts > 0, self.call_pending
 
     def attempt_ended(self, outcome: Outcome) -> None:
-        """An attempt ended so: whether it was a call at all, and whether it was refused."""
+        """Records whether the attempt was refused, and whether it made a call at all."""
         self.refused = outcome is Outcome.FULL
-        self.owed = self.owed and outcome in (Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.CANCELLED)
+        self.call_pending = self.call_pending and outcome in (
+            Outcome.CONNECT_FAILED,
+            Outcome.MOOT,
+            Outcome.CANCELLED,
+        )
 
     def by_aim(self) -> tuple[int, int]:
         return self.aim_at, self.id
 
     def key_until(self) -> int:
-        """So long does the destination surely remember the key."""
-        return min((sent for sent, _ in self.may_have_run.values()), default=0) + self.cls.window
+        """The time until which the destination is certain to remember the idempotency key."""
+        return min((sent_at for sent_at, _ in self.may_have_run.values()), default=0) + self.cls.window
 
 
 class Route:
-    """What shares one limit, wait and fate: a destination, or one endpoint where routes are apart."""
+    """The unit of limits, backoff and health: a destination, or one endpoint where endpoints are separate routes."""
 
     def __init__(self, now: int, share: LimitShare) -> None:
-        self.born = now
-        self.share = share  # of the limit that the route tells
+        self.created_at = now
+        self.share = share  # of the limit that the route reports
         self.mean: float | None = None  # latency of served calls
         self.mean_at = now
-        self.heard = now  # when the last answered call was sent
+        self.answered_at = now  # when the latest answered call was sent
         self.calls: list[Call] = []
         self.accepted: deque[int] = deque()  # times
-        self.rest_until = 0  # by told waits, pace and trials
-        self.rest_why = Hold.PACE  # which of them ends last
+        self.backoff_until = 0  # by retry-after, pacing and trials
+        self.backoff_reason = Hold.PACE  # the one that ends last
         self.pace = 0.0  # calls a second at `cut_at`, the last cut; 0: none
         self.cut_at = 0
         self.fail_share = 0.0
@@ -127,53 +134,53 @@
         self.bad_run = 0  # failed or refused calls in a row, the first at `bad_since`
         self.bad_since = 0
         self.failing = False
-        self.cold_at = -1  # when it came back from being sick
-        self.cold_due = 0  # when the ramp allows the next call
+        self.slow_start_at = -1  # when it recovered; -1: it was never unhealthy
+        self.slow_start_due = 0  # when slow start allows the next call
 
-    def rest(self, until: int, why: Hold) -> None:
-        if until > self.rest_until:
-            self.rest_until, self.rest_why = until, why
+    def back_off(self, until: int, reason: Hold) -> None:
+        if until > self.backoff_until:
+            self.backoff_until, self.backoff_reason = until, reason
 
     def paced(self, now: int) -> float:
-        """Calls a second, 0 without a pace; it grows evenly."""
-        since = (now - self.cut_at) / SECOND
-        return self.pace * (1 + GROW * since) if since <= PACE_END else 0.0
+        """The pace in calls a second, which grows linearly from the last cut; 0 without a pace."""
+        since_cut = (now - self.cut_at) / SECOND
+        return self.pace * (1 + PACE_GROWTH_PER_S * since_cut) if since_cut <= PACE_DURATION_S else 0.0
 
     def silent(self, now: int) -> bool:
-        """Nothing sent for long was answered; a call lost while later ones are answered says nothing."""
-        since = next((call.sent_at for call in self.calls if call.sent_at > self.heard), now)
-        return self.mean is not None and now - since > STALL * self.mean
+        """Whether none of the calls sent for some time was answered. A call that is lost while later ones are answered
+        does not count."""
+        since = next((call.sent_at for call in self.calls if call.sent_at > self.answered_at), now)
+        return self.mean is not None and now - since > SILENT_LATENCIES * self.mean
 
-    def was_accepted(self, now: int) -> None:
-        """A call was taken."""
+    def record_accepted(self, now: int) -> None:
         self.accepted.append(now)
-        while self.accepted[0] <= now - PACE_SPAN:
+        while self.accepted[0] <= now - ACCEPTED_SPAN_US:
             self.accepted.popleft()
 
     def accepted_rate(self, now: int) -> float:
-        """Calls a second that were accepted lately."""
-        lately = sum(at > now - PACE_SPAN for at in self.accepted)
-        return lately * SECOND / max(min(PACE_SPAN, now - self.born), SECOND)
+        """Calls a second that were accepted in the last `ACCEPTED_SPAN_US`."""
+        recent = sum(accepted_at > now - ACCEPTED_SPAN_US for accepted_at in self.accepted)
+        return recent * SECOND / max(min(ACCEPTED_SPAN_US, now - self.created_at), SECOND)
 
-    def recall(self, was: RestoredRoute) -> None:
-        """What an earlier life knew; the first answer replaces it."""
-        if not was.wait_only:
-            self.share.recall(*was.share)
-            self.failing, self.cold_at = was.failing, was.cold_at
-        self.rest(was.wait_until, Hold.RETRY_AFTER)
+    def restore(self, state: RestoredRoute) -> None:
+        """Takes over the state from an earlier run; the first answer replaces it."""
+        if not state.wait_only:
+            self.share.recall(*state.share)
+            self.failing, self.slow_start_at = state.failing, state.cold_at
+        self.back_off(state.wait_until, Hold.RETRY_AFTER)
 
     def due(self) -> int:
-        """When rests, and this courier's part of the limit, let the next call go."""
-        return max(self.rest_until, self.share.due())
+        """When backoff, and this relay's share of the limit, allow the next call."""
+        return max(self.backoff_until, self.share.due())
 
 
 @dataclass(eq=False)
 class Endpoint:
     """One endpoint of a destination."""
 
-    told: Listed
+    entry: Listed
     route: Route
-    order: float  # drawn: couriers that cannot tell endpoints apart spread over them
+    order: float  # random tie-break, so that relays spread over endpoints that are otherwise equal
     mean: float | None = None
     calls: int = 0
     failed_at: int = 0
@@ -182,75 +189,77 @@
 
 @dataclass(eq=False)
 class Destination:
-    """The endpoints that may be sent to, and the messages held for them."""
+    """A destination with its usable endpoints, its routes and the messages held for it."""
 
-    born: int
-    ends: dict[int, Endpoint] = field(default_factory=dict)
+    created_at: int
+    endpoints: dict[int, Endpoint] = field(default_factory=dict)
     routes: dict[int, Route] = field(default_factory=dict)
     held: dict[int, Message] = field(default_factory=dict)
-    lines: dict[tuple[int, float, bool, bool], list[Message]] = field(default_factory=dict)  # the held, by aim
-    came: int = 0  # messages since `born`
-    crowd: int = 0  # refusals, less the calls accepted since
+    queues: dict[tuple[int, float, bool, bool], list[Message]] = field(default_factory=dict)  # `held`, by aim
+    arrivals: int = 0  # messages since `created_at`
+    overload: int = 0  # refusals, less the calls accepted since
     fails: int = 0  # failed calls since one was accepted
-    rest_until: int = 0
-    rest_why: Hold = Hold.REST
+    backoff_until: int = 0
+    backoff_reason: Hold = Hold.REST
     wake_at: int = 0  # when it is looked at next, if nothing happens before
 
     def hold(self, message: Message) -> None:
         if message.id not in self.held:
             self.held[message.id] = message
-            insort(self.lines.setdefault(message.alike(), []), message, key=Message.by_aim)
+            insort(self.queues.setdefault(message.queue_key(), []), message, key=Message.by_aim)
 
-    def let_go(self, message: Message) -> None:
+    def remove(self, message: Message) -> None:
+        """Removes the message from the held messages, if it is among them."""
         if self.held.pop(message.id, None):
-            line = self.lines[message.alike()]
-            del line[bisect_left(line, message.by_aim(), key=Message.by_aim)]
-            if not line:
-                del self.lines[message.alike()]
-
-    def arrived(self, now: int) -> None:
-        """One more message came, for any of the routes."""
-        self.came += 1
+            queue = self.queues[message.queue_key()]
+            del queue[bisect_left(queue, message.by_aim(), key=Message.by_aim)]
+            if not queue:
+                del self.queues[message.queue_key()]
+
+    def record_arrival(self, now: int) -> None:
+        """Counts a new message, in equal parts for each route."""
+        self.arrivals += 1
         for route in self.routes.values():
             route.share.message_arrived(now, 1 / len(self.routes))
 
-    def gap(self, now: int) -> float:
-        """This courier's usual gap between messages there."""
-        return (now - self.born) / max(1, self.came)
+    def arrival_gap(self, now: int) -> float:
+        """The mean time between this relay's messages for the destination."""
+        return (now - self.created_at) / max(1, self.arrivals)
 
     def calls(self) -> int:
-        return sum(endpoint.calls for endpoint in self.ends.values())
+        """The number of calls in flight."""
+        return sum(endpoint.calls for endpoint in self.endpoints.values())
 
-    def rest(self, until: int, why: Hold = Hold.REST) -> None:
-        if until > self.rest_until:
-            self.rest_until, self.rest_why = until, why
+    def back_off(self, until: int, reason: Hold = Hold.REST) -> None:
+        if until > self.backoff_until:
+            self.backoff_until, self.backoff_reason = until, reason
 
-    def forget(self, now: int) -> None:
-        """Drop the routes that no endpoint is left of, once what they were told is over."""
-        left = {SHARED} | self.ends.keys() if self.ends else set()
-        for name in [n for n, route in self.routes.items() if n not in left and route.rest_until <= now]:
-            del self.routes[name]
+    def drop_unused_routes(self, now: int) -> None:
+        """Drops the routes that have no endpoint any more, once their backoff is over."""
+        used = {SHARED_ROUTE} | self.endpoints.keys() if self.endpoints else set()
+        for key in [n for n, route in self.routes.items() if n not in used and route.backoff_until <= now]:
+            del self.routes[key]
 
 
-def known(dests: Mapping[int, Destination]) -> tuple[RestoredRoute, ...]:
-    """What there is to recall of all routes."""
+def export_routes(dests: Mapping[int, Destination]) -> tuple[RestoredRoute, ...]:
+    """The state of all routes that a later run restores."""
     return tuple(
         RestoredRoute(
             name,
-            None if at == SHARED else at,
+            None if key == SHARED_ROUTE else key,
             route.share.state(),
             route.failing,
-            route.cold_at,
-            route.rest_until if route.rest_why is Hold.RETRY_AFTER else 0,
+            route.slow_start_at,
+            route.backoff_until if route.backoff_reason is Hold.RETRY_AFTER else 0,
         )
         for name, dest in dests.items()
-        for at, route in dest.routes.items()
+        for key, route in dest.routes.items()
     )
 
 
-def recall(dests: Mapping[int, Destination], routes: Sequence[RestoredRoute]) -> None:
-    """Tell routes that the list has named what an earlier life knew of them."""
-    for was in routes:
-        dest = dests.get(was.dest)
-        if dest and (route := dest.routes.get(SHARED if was.endpoint is None else was.endpoint)):
-            route.recall(was)
+def restore_routes(dests: Mapping[int, Destination], routes: Sequence[RestoredRoute]) -> None:
+    """Restores the state from an earlier run in the routes of listed endpoints."""
+    for state in routes:
+        dest = dests.get(state.dest)
+        if dest and (route := dest.routes.get(SHARED_ROUTE if state.endpoint is None else state.endpoint)):
+            route.restore(state)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The module's size, and its purity."""
+"""The decision modules stay small, free of I/O and within the standard library."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 from pathlib import Path
 
 PACKAGE = Path(__file__).parents[1] / "calicohitch"
-RULES = PACKAGE / "decisions.py"
-MOST_STATEMENTS = 470
+DECISIONS = PACKAGE / "decisions.py"
+MAX_STATEMENTS = 470
 
 
-def _is_text(node: ast.AST) -> bool:
+def _is_docstring(node: ast.AST) -> bool:
     return isinstance(node, ast.Expr) and isinstance(node.value, ast.Constant) and isinstance(node.value.value, str)
 
 
-def test_rules_stay_within_their_statements() -> None:
-    """Statements, not lines: the formatter breaks lines, and neither it nor a docstring makes a decision larger."""
-    tree = ast.parse(RULES.read_text())
-    statements = [node for node in ast.walk(tree) if isinstance(node, ast.stmt) and not _is_text(node)]
-    assert len(statements) <= MOST_STATEMENTS
-    assert max(map(len, RULES.read_text().splitlines())) <= 110
+def test_decisions_stay_within_their_statement_limit() -> None:
+    """Counts statements, because lines depend on the formatter; docstrings are not counted."""
+    tree = ast.parse(DECISIONS.read_text())
+    statements = [node for node in ast.walk(tree) if isinstance(node, ast.stmt) and not _is_docstring(node)]
+    assert len(statements) <= MAX_STATEMENTS
+    assert max(map(len, DECISIONS.read_text().splitlines())) <= 110
 
 
-def test_rules_name_the_interface_at_the_top() -> None:
-    assert "interface.py" in (ast.get_docstring(ast.parse(RULES.read_text())) or "")
+def test_decisions_name_the_interface_in_their_docstring() -> None:
+    assert "interface.py" in (ast.get_docstring(ast.parse(DECISIONS.read_text())) or "")
 
 
-def test_only_the_standard_library_decides() -> None:
+def test_decisions_import_only_the_standard_library() -> None:
     for path in (PACKAGE / name for name in ("interface.py", "decisions.py", "decision_state.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.Import):
@@ -36,6 +36,6 @@
                 assert (node.module or "").split(".")[0] in sys.stdlib_module_names
 
 
-def test_rules_read_no_clock_and_do_no_io() -> None:
-    named = {n.id for n in ast.walk(ast.parse(RULES.read_text())) if isinstance(n, ast.Name)}
-    assert not named & {"open", "print", "time", "datetime", "os", "sys", "hash", "input"}
+def test_decisions_read_no_clock_and_do_no_io() -> None:
+    names = {n.id for n in ast.walk(ast.parse(DECISIONS.read_text())) if isinstance(n, ast.Name)}
+    assert not names & {"open", "print", "time", "datetime", "os", "sys", "hash", "input"}
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The design's mechanism: curves, conformance, release order, late drop, effects."""
+"""The ranking mechanism: penalty curves, conformance, release order, late drop, effect classes."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 @pytest.mark.parametrize(
     ("c", "expected"),
     [
-        (1.0, 0.0),  # above the top tier's open end: no cost, no gain
+        (1.0, 0.0),  # at the upper bound of the top level: no cost, no gain
         (0.99, 0.02),  # ((1 - .99) / .1)^2 * 2
         (0.95, 0.5),  # ((1 - .95) / .1)^2 * 2
-        (0.9, 2.0),  # the bottom of the first level: the full step
+        (0.9, 2.0),  # the lower bound of the first level: the full step
         (0.89, 1.62),  # gain ((.89 - .8) / .1)^2 * 2 over cost ((.9 - .89) / .1)^2 * 2
-        (0.85, 0.5),  # half way: both are a quarter
+        (0.85, 0.5),  # half way: both curves give a quarter of the step
         (0.81, 1.62),  # cost ((.9 - .81) / .1)^2 * 2
         (0.8, 2.0),
         (0.79, 2 * (0.79 / 0.8) ** 2),  # gain only
@@ -29,7 +29,7 @@
     assert penalty(c, 2.0, (1.0, 0.9, 0.8, 0.0)) == pytest.approx(expected, abs=1e-9)
 
 
-def test_conformance_starts_at_one_and_counts_endings() -> None:
+def test_conformance_starts_at_one_and_counts_results() -> None:
     assert conformance(()) == 1.0
     assert conformance((True, True, False, True)) == 0.75
 
@@ -39,7 +39,8 @@
 
 
 def fill(courier: Courier) -> None:
-    for _ in range(courier.engine._set.slots):
+    """Takes all slots by calls to destination 2."""
+    for _ in range(courier.engine._settings.slots):
         courier.arrive(dest=2)
 
 
@@ -49,32 +50,32 @@
 
 
 def test_freed_slot_goes_to_the_highest_penalty(courier: Courier) -> None:
-    for in_aim in (True,) * 17 + (False,) * 3:
-        courier.engine._recent[UNSAFE].append(in_aim)  # c = .85
+    for before_aim in (True,) * 17 + (False,) * 3:
+        courier.engine._recent[UNSAFE].append(before_aim)  # c = .85
     fill(courier)
     courier.arrive(SAFE)
     courier.arrive(UNSAFE)
     assert sends(courier.settle(1)) == [(10, 11)]
 
 
-def test_tie_goes_to_the_destination_with_fewest_calls_out(courier: Courier) -> None:
+def test_tie_goes_to_the_destination_with_the_fewest_calls_in_flight(courier: Courier) -> None:
     fill(courier)
     courier.arrive(dest=2)
     courier.arrive(dest=1)
     assert sends(courier.settle(1))[0] == (10, 11)
 
 
-def test_tried_before_fresh(courier: Courier) -> None:
+def test_tried_message_goes_before_a_new_one(courier: Courier) -> None:
     courier.serve(3)
     fill(courier)
     first = courier.next_id - 1
     courier.arrive(UNSAFE, dest=1)
     courier.now += 20 * MS
-    back = courier.outcome(first, i.Outcome.RESET)
-    assert sends(courier.tell(back))[0][0] == first
+    settled = courier.outcome(first, i.Outcome.RESET)
+    assert sends(courier.tell(settled))[0][0] == first
 
 
-def test_past_latest_start_jumps_to_the_top(courier: Courier) -> None:
+def test_message_past_its_latest_start_goes_first(courier: Courier) -> None:
     courier.serve(3)
     courier.serve(3, dest=2)
     fill(courier)
@@ -86,17 +87,17 @@
     assert sends(courier.settle(first))[0][0] == late.message
 
 
-@pytest.mark.parametrize(("left", "kept"), [(101, True), (99, False)])
-def test_late_drop_on_either_side_of_the_mean(courier: Courier, left: int, kept: bool) -> None:
+@pytest.mark.parametrize(("left", "is_sent"), [(101, True), (99, False)])
+def test_late_drop_on_either_side_of_the_mean(courier: Courier, left: int, is_sent: bool) -> None:
     courier.serve(5, took=100 * MS)
     actions = courier.arrive(left=left * MS)
-    assert bool(sends(actions)) is kept
-    assert bool(answers(actions)) is not kept
+    assert bool(sends(actions)) is is_sent
+    assert bool(answers(actions)) is not is_sent
 
 
 @pytest.mark.parametrize("outcome", [o for o in i.Outcome if o is not i.Outcome.OK])
 @pytest.mark.parametrize("cls", [SAFE, KEYED, UNSAFE])
-def test_effect_class_against_outcome(courier: Courier, cls: int, outcome: i.Outcome) -> None:
+def test_retry_depends_on_effect_class_and_outcome(courier: Courier, cls: int, outcome: i.Outcome) -> None:
     courier.arrive(cls)
     courier.now += 50 * MS
     actions = courier.settle(1, outcome)
@@ -132,7 +133,7 @@
     assert [a.message for a in answers(actions)] == [1]
 
 
-def test_one_final_answer_in_time_without_any_endpoint() -> None:
+def test_message_without_any_endpoint_gets_one_final_answer_in_time() -> None:
     courier = Courier()
     assert not answers(courier.arrive(SAFE, dest=9))
     courier.now += CLASSES[SAFE].deadline - SECOND + 1
