--- a/calicohitch/clock.py
+++ b/calicohitch/clock.py
@@ -1,14 +1,14 @@
-"""The one clock of a relay: float milliseconds of Unix time that never run backwards."""
+"""The clock of a relay: Unix time as float milliseconds, which never runs backwards."""
 
 from __future__ import annotations
 
 import time
 
-_READINGS = 5
+_READING_COUNT = 5
 
 
 class Clock:
-    """Unix time at the start plus monotonic time since, so that deadlines outlast a restart."""
+    """Unix time at the start plus the monotonic time since, so that deadlines remain valid after a restart."""
 
     def __init__(self) -> None:
         self._offset = _offset_ms()
@@ -18,19 +18,19 @@
 
 
 def _offset_ms() -> float:
-    """Unix time less monotonic time. Of several pairs of readings the one that lay closest together counts, since a
-    process may be held up between two of them."""
-    pairs = []
-    for _ in range(_READINGS):
+    """Unix time less monotonic time. The process may be suspended during a reading of both, so of several readings the
+    shortest one counts."""
+    readings = []
+    for _ in range(_READING_COUNT):
         before = time.monotonic()
         wall = time.time()
         after = time.monotonic()
-        pairs.append((after - before, wall - (before + after) / 2))
-    return min(pairs)[1] * 1e3
+        readings.append((after - before, wall - (before + after) / 2))
+    return min(readings)[1] * 1e3
 
 
 class ManualClock(Clock):
-    """A clock that stands still until it is told to move."""
+    """A clock that moves only by `advance`."""
 
     def __init__(self, now: float = 1_000_000.0) -> None:
         self._now = now
@@ -43,7 +43,7 @@
 
 
 def to_micros(ms: float) -> int:
-    """The decisions count in whole microseconds: this and `to_ms` are the only places that convert."""
+    """Whole microseconds, the unit of the decision engine. Only this and `to_ms` convert between the two units."""
     return int(ms * 1e3)
 
 
--- a/calicohitch/decisions.py
+++ b/calicohitch/decisions.py
@@ -359,7 +359,7 @@
             route.back_off(now + wait + route.share.apart(self._random.random()), Hold.PACE)
         elif self._calls_are_rare(dest):
             dest.overload += 1
-            first = self._settings.first_rest(TRIAL_INTERVAL_US) * 2 ** self._overload_doublings.get(
+            first = self._settings.first_backoff(TRIAL_INTERVAL_US) * 2 ** self._overload_doublings.get(
                 call.endpoint.entry.kind, 0
             )
             dest.back_off(now + wait + self._backoff(dest, dest.overload, first))
--- a/calicohitch/interface.py
+++ b/calicohitch/interface.py
@@ -1,7 +1,7 @@
-"""What a courier tells its DecisionEngine and what that answers: settings, events, actions, outcomes.
+"""The interface between a relay and its `DecisionEngine`: settings, events, actions and outcomes.
 
-All times are integers in microseconds of the courier's own clock, durations included.
-The types carry facts only; every decision is made in `decisions.py`.
+All times and durations are integers in microseconds, by the relay's own clock. The types hold data only; every
+decision is made in `decisions.py`.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Effect(Enum):
-    """What a repeated attempt at a message would do at its destination."""
+    """The effect that a repeated attempt at a message would have at its destination."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -37,30 +37,30 @@
 
 
 class Hold(Enum):
-    """Why a message that is held is not out."""
-
-    SLOT = "slot"  # all of this courier's slots are taken, or a message of a higher rank goes first
-    RETRY_AFTER = "told_wait"  # the destination told to wait
-    REST = "rest"  # calls there are rare, and failed or were refused
-    PACE = "pace"  # calls are spaced below the destination's limit
-    TRIAL = "trial"  # the route is sick: only spaced trials go there
-    SILENT = "silent"  # nothing is answered there
-    RAMP = "ramp"  # the destination is cold
-    ORDER = "order"  # another message of its key goes first, or the key rests
-    RISK = "risk"  # no open endpoint suits a repeat, or a message that a failure would end
+    """Why a message is held and not sent."""
+
+    SLOT = "slot"  # all slots of this relay are taken, or a message of a higher rank goes first
+    RETRY_AFTER = "told_wait"  # the destination answered with a retry-after
+    REST = "rest"  # backoff: calls there are rare, and failed or were refused
+    PACE = "pace"  # pacing: calls are spaced to stay below the destination's limit
+    TRIAL = "trial"  # the route is unhealthy: only spaced trials go there
+    SILENT = "silent"  # none of the recent calls was answered
+    RAMP = "ramp"  # slow start: the route has recovered from an outage
+    ORDER = "order"  # another message of its key goes first, or a call of the key may still run
+    RISK = "risk"  # no usable endpoint is suitable for a retry, or for a message that a failure would end
     NO_ENDPOINT = "no_endpoint"
 
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    """The answer to why a message is held; `until` is when that can end, 0 where only an event tells."""
+    """The reason why a message is held; `until` is when that can end, 0 where only an event can end it."""
 
     why: Hold
     until: int = 0
 
 
 class Phase(Enum):
-    """What the list says of an endpoint; nothing of its health."""
+    """The phase of an endpoint in the endpoint list, which is independent of its health."""
 
     READY = 1
     GONE = 2
@@ -68,7 +68,7 @@
 
 
 class ListKind(Enum):
-    """How a list event relates to the list that the courier already has."""
+    """The kind of a discovery update: a change, the full list, a cached list, or a failed call."""
 
     DELTA = 0
     FULL = 1
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """One class of messages, as the settings tell it."""
+    """One class of messages, as defined in the settings."""
 
     effect: Effect
     aim: int
@@ -92,13 +92,13 @@
 
     @property
     def harmless_again(self) -> bool:
-        """Whether its client may hand in a message of this class again, whatever became of it."""
+        """Whether a client may submit a message of this class again, whatever its outcome was."""
         return self.effect is Effect.SAFE or self.effect is Effect.KEYED and self.group == "all"
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """One kind of destination: messages in one call at most, and whether its endpoints are routes apart."""
+    """A kind of destination: the maximum of messages in one call, and whether each endpoint is a separate route."""
 
     batch: int = 1
     routes_apart: bool = False
@@ -106,14 +106,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer's share: requests a second over all couriers that are worth their full worth."""
+    """A tenant's quota over all relays. Messages above it count for less."""
 
     quota_per_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points taken off the result, for each unit."""
+    """Points that the simulator subtracts from the score, for each unit."""
 
     cross_zone: float = 0.0
     handshake: float = 0.0
@@ -127,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """One value of a report that an answer or a probe may bring: its name, and its meaning in plain words."""
+    """One value of the load report in an answer or a probe: its name and a description of it."""
 
     name: str
     meaning: str = ""
@@ -135,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the six rules."""
+    """The parameters of the delivery rules."""
 
     answer_slack: int = 0
     drain_grace: int = 0
@@ -147,12 +147,12 @@
     key_quiet: int = 0
 
 
-PROTOCOLS = ("http", "grpc")  # by their numbers
+PROTOCOLS = ("http", "grpc")  # index: the bit in `Listed.speaks`, the number in `Arrived.protocol`
 
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """One line of the list of endpoints."""
+    """One entry of the endpoint list."""
 
     endpoint: int
     dest: int
@@ -161,15 +161,15 @@
     zone: int = 0
     weight: float = 1.0
     since: int = 0
-    speaks: int = 1  # a bit for each protocol that it takes calls in, the lowest for HTTP/1.1
+    speaks: int = 1  # one bit for each protocol that it accepts, the lowest for HTTP/1.1
 
 
-FEW = 4  # couriers
+FEW_RELAYS = 4  # so many may retry at the usual backoff where no answer reports a limit
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a courier is told at its start."""
+    """The settings that a relay gets at its start."""
 
     classes: tuple[MessageClass, ...]
     slots: int
@@ -210,7 +210,7 @@
             raise ValueError(f"weights must be none, nominal or rough, not {self.weights!r}")
         for index, item in enumerate(self.classes):
             if not 0 < item.aim <= item.deadline:
-                raise ValueError(f"classes[{index}].aim must lie above 0 and not past the deadline")
+                raise ValueError(f"classes[{index}].aim must be above 0 and at most the deadline")
             if item.worth < 0:
                 raise ValueError(f"classes[{index}].worth must not be negative")
         for index, kind in enumerate(self.kinds):
@@ -220,23 +220,22 @@
             if getattr(self.rules, name) < 0:
                 raise ValueError(f"rules.{name} must not be negative")
 
-    def first_rest(self, pause: int) -> float:
-        """The first rest after a refusal, of couriers of whom a few rest for `pause`. Where no answer tells its limit
-        and they are many, all that are refused come again no more often together than `FEW` of them: refused calls may
-        use the limit up."""
-        return pause * (1.0 if self.reports else max(1.0, self.couriers / FEW))
+    def first_backoff(self, pause: int) -> float:
+        """The first backoff after a refusal, where that of a few relays is `pause`. Refused calls may use up a limit,
+        so where answers do not report limits, many relays together retry no more often than `FEW_RELAYS` would."""
+        return pause * (1.0 if self.reports else max(1.0, self.couriers / FEW_RELAYS))
 
     def kind(self, entry: Listed) -> Kind:
-        """The kind of a listed endpoint; one that the settings do not tell is an ordinary one."""
+        """The kind of a listed endpoint; the default one if the settings do not define it."""
         return self.kinds[entry.kind] if entry.kind < len(self.kinds) else Kind()
 
 
-# Events: what the courier has seen.
+# Events: what the relay has observed.
 
 
 @dataclass(frozen=True, slots=True)
 class EarlierAttempt:
-    """An attempt that an earlier life of this courier made at a message which it took on."""
+    """An attempt by an earlier run of this relay at a message that it had accepted."""
 
     sent_at: int
     zone: int
@@ -245,8 +244,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrived:
-    """A new message, the DecisionEngine's to end exactly once; `earlier` is what was tried at it before: by a life that
-    ended, or for a client whose call broke and who comes again. `restored`: an earlier life took it on."""
+    """A new message, which the `DecisionEngine` has to end exactly once. `earlier`: the attempts before it arrived, by
+    an earlier run, or for a client whose call broke and that submitted it again. `restored`: an earlier run accepted
+    it."""
 
     message: int
     class_index: int
@@ -264,8 +264,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Settled:
-    """The one outcome of an attempt. `ended`: the message is over and no answer is owed. `stale`: it broke
-    before any answer on a connection kept from an earlier call, which says nothing of the endpoint."""
+    """The only outcome of an attempt. `ended`: the message is finished and needs no final answer. `stale`: the attempt
+    broke before any answer, on a connection kept alive from an earlier call, which is no sign of the endpoint's health.
+    """
 
     message: int
     attempt: int
@@ -291,14 +292,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """Nobody wants the message any more; no answer is owed."""
+    """The client has withdrawn the message; it needs no final answer."""
 
     message: int
 
 
 @dataclass(frozen=True, slots=True)
 class ListTold:
-    """The list of endpoints, a change of it, or word that it could not be had."""
+    """A discovery update: the endpoint list, a change of it, or the failure of a call for it."""
 
     kind: ListKind
     version: int = 0
@@ -307,14 +308,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Rang:
-    """A timer has come due."""
+    """A timer has fired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probed:
-    """What one probe found."""
+    """The result of a probe."""
 
     endpoint: int
     outcome: Outcome
@@ -324,7 +325,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSaid:
-    """Bytes from another courier."""
+    """Bytes from another relay."""
 
     peer: int
     data: bytes
@@ -332,9 +333,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoredRoute:
-    """What an earlier life knew of a route; `endpoint` names it where endpoints are routes apart, else None. `share`:
-    limit, times and messages a second, as `core/shared_limit.py` counts them. `cold_at`, `wait_until`: on this
-    clock. `wait_only`: all that is known of it is that it told to wait."""
+    """The state of a route from an earlier run. `endpoint`: set where each endpoint is a separate route, else None.
+    `share`: limit, factor and messages a second, as `core/shared_limit.py` keeps them. `cold_at`: when slow start
+    began; `wait_until`: the end of a retry-after; both by this run's clock. `wait_only`: only the retry-after is
+    known."""
 
     dest: int
     endpoint: int | None = None
@@ -347,8 +349,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoredState:
-    """What an earlier life of this courier knew, told before anything else but the list: the first fresh word replaces
-    it. `on_time`: by class, how many of how many endings were in time."""
+    """The state from an earlier run of this relay. It comes before all other events but the endpoint list, and newer
+    observations replace it. `on_time`: for each class, how many of its recent messages were in time, and their number.
+    """
 
     routes: tuple[RestoredRoute, ...] = ()
     on_time: tuple[tuple[int, int], ...] = ()
@@ -356,14 +359,14 @@
 
 Event = Arrived | Settled | Flowing | Withdrawn | ListTold | Rang | Probed | PeerSaid | RestoredState
 
-# Actions: what the courier is to do, in this order.
+# Actions: what the relay has to do, in the order given.
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Call an endpoint with the message. `timeout` 0: until the client quits.
-    `not_after`: where a connection comes up later than this, the call is moot; 0: no such limit. `attempt`: which
-    attempt at the message it is; exactly one `Settled` has to answer it."""
+    """Calls an endpoint with the message. `timeout` 0: until the client leaves. `not_after`: if the connection is ready
+    later than this, the call is not made and ends as `MOOT`; 0: no such limit. `attempt`: the number of the attempt
+    at the message; exactly one `Settled` has to follow it."""
 
     message: int
     endpoint: int
@@ -374,7 +377,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: undelivered, and it is harmless to hand the message in again."""
+    """Final answer: the message is undelivered, and it is harmless to submit it again."""
 
     message: int
     retry_after: int = 0
@@ -382,14 +385,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: given up, with no promise about its effect."""
+    """Final answer: the message is given up and may have taken effect."""
 
     message: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Quit waiting on one attempt."""
+    """Cancels one attempt."""
 
     message: int
     attempt: int
@@ -397,7 +400,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `Rang` after this time."""
+    """Requests a `Rang` event after `delay`."""
 
     delay: int
     token: int
@@ -405,33 +408,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Subscribe to changes of the list, or end that."""
+    """Subscribes to discovery updates, or ends the subscription."""
 
     on: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Ask for the whole list once."""
+    """Requests the full endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdle:
-    """Shut the idle connections to an endpoint."""
+    """Closes the idle connections to an endpoint."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Send a check to an endpoint, where that is allowed."""
+    """Sends a health probe to an endpoint, where `Settings.may_probe` allows it."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class Tell:
-    """Send bytes to another courier, where that is allowed; `peer` None is every one."""
+    """Sends bytes to another relay, where `Settings.may_tell` allows it; `peer` None: to all."""
 
     peer: int | None
     data: bytes
@@ -439,7 +442,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators."""
+    """Writes a log line for the operators."""
 
     text: str
 
--- a/tests/test_many_relays.py
+++ b/tests/test_many_relays.py
@@ -295,6 +295,6 @@
     settings = i.Settings(
         classes=among_many().engine._settings.classes, slots=1, open_cap=9, max_attempts=3, couriers=4
     )
-    assert settings.first_rest(500 * MS) == 500 * MS
+    assert settings.first_backoff(500 * MS) == 500 * MS
     assert backoff_after_refusal(among_many(reports=(), couriers=4), 1) < 1_500 * MS
     assert backoff_after_refusal(among_many(reports=()), 1) > 6_000 * MS
