--- a/tests/orders/test_attempts.py
+++ b/tests/orders/test_attempts.py
@@ -341,7 +341,9 @@
             self.assertEqual(await link.receive(), b"")
             link.close()
             again = await served_once(world)  # a later call keeps its connection
-            self.assertEqual((world.kept, world.endpoints._closed, world.endpoints._out), (1, {}, {}))
+            self.assertEqual(
+                (world.kept, world.endpoints._close_requests, world.endpoints._calls_in_flight), (1, {}, {})
+            )
             again.close()
 
         self.play(test)
