--- a/calicohitch/net/answer.py
+++ b/calicohitch/net/answer.py
@@ -1,24 +1,24 @@
-"""The common answer, read at once in front of h11 (see `net.head`). No I/O."""
+"""A fast parser for common responses, tried before h11 (see `net.head`). No I/O."""
 
 from __future__ import annotations
 
 from .head import Look, pattern, read_body, read_head
 
 _HEAD = pattern(rb"HTTP/1\.1 ([2-5][0-9][0-9])(?: [\t -~]*)?")
-_WITHOUT_BODY = frozenset({b"204", b"304"})
+_STATUSES_WITHOUT_BODY = frozenset({b"204", b"304"})
 
 
-def read(data: bytes, most: int) -> tuple[int, dict[bytes, bytes], bytes] | Look:
-    """Status, headers (names in lower case) and body of the one answer that `data` is. `most` bounds the body."""
+def read(data: bytes, max_body: int) -> tuple[int, dict[bytes, bytes], bytes] | Look:
+    """Status, headers (names in lower case) and body of the one response in `data`. `max_body`: in bytes."""
     head = read_head(data, _HEAD, data[:9] == b"HTTP/1.1 "[: len(data)])
     if isinstance(head, Look):
         return head
     (status,), headers = head.first, head.headers
     if (
-        status in _WITHOUT_BODY
+        status in _STATUSES_WITHOUT_BODY
         or b"transfer-encoding" in headers
         or headers.get(b"connection", b"keep-alive") != b"keep-alive"
     ):
         return Look.UNCOMMON
-    body = read_body(data, head, headers.get(b"content-length", b""), most)
+    body = read_body(data, head, headers.get(b"content-length", b""), max_body)
     return body if isinstance(body, Look) else (int(status), headers, body)
--- a/calicohitch/net/head.py
+++ b/calicohitch/net/head.py
@@ -1,8 +1,8 @@
-"""The heads of common HTTP/1.1 messages, read at once: what requests and answers share of the checked way past h11.
+"""A fast parser for the heads of common HTTP/1.1 messages: the part that requests and responses share.
 
-What is read here h11 reads alike; what is uncommon in any way, or broken, is left to h11, which also says what is wrong
-with it. `intake.head` and `net.answer` say what is common in a request and in an answer; both are held against h11 by a
-differential fuzz in the tests. No I/O.
+What is parsed here h11 parses with the same result; every uncommon or invalid message is left to h11, which also
+reports what is wrong with it. `intake.head` and `net.answer` define which requests and responses are common; fuzz
+tests compare both with h11. No I/O.
 """
 
 from __future__ import annotations
@@ -12,22 +12,22 @@
 from enum import Enum
 
 LONGEST_HEAD = 8 << 10
-_LENGTH = re.compile(rb"0|[1-9][0-9]{0,7}")
-# Visible ASCII only: h11 takes more, and may have it.
+_CONTENT_LENGTH = re.compile(rb"0|[1-9][0-9]{0,7}")
+# Visible ASCII, blank and tab only: other bytes that h11 accepts are left to it.
 _FIELD = rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+:[\t -~]*\r\n"
 
 
 class Look(Enum):
-    """What came is no message that can be read here, not yet or not at all."""
+    """Why the data was not parsed here."""
 
-    SHORT = "short"  # more has to come
-    UNCOMMON = "uncommon"  # h11 reads it
+    SHORT = "short"  # the message is incomplete
+    UNCOMMON = "uncommon"  # h11 has to parse it
 
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """A whole head: the groups of its first line, its headers (names in lower case, none twice) in order, and where the
-    body begins."""
+    """A complete head. `first`: the groups of its first line; `raw`: its headers in order, with names in lower case and
+    none repeated; `size`: its bytes, which is the offset of the body."""
 
     first: tuple[bytes, ...]
     raw: list[tuple[bytes, bytes]]
@@ -36,35 +36,35 @@
 
 
 def pattern(first_line: bytes) -> re.Pattern[bytes]:
-    """A head whose first line is as told, without its end; the last group holds the fields."""
+    """Matches a head with this first line, given without its line end; the last group holds the header lines."""
     return re.compile(first_line + rb"\r\n((?:" + _FIELD + rb")*)\r\n")
 
 
-def read_head(data: bytes, whole: re.Pattern[bytes], may_become: bool) -> Head | Look:
-    """`may_become`: the first bytes of `data` are those of a message that is common."""
+def read_head(data: bytes, head_pattern: re.Pattern[bytes], may_be_common: bool) -> Head | Look:
+    """Parse the head at the start of `data`. `may_be_common`: whether its first bytes are those of a common message."""
     end = data.find(b"\r\n\r\n")
     if end < 0:
-        # h11 has its own bounds, its own word for a beginning that cannot become a message, and ends a head at bare
-        # line feeds as well.
-        may_become = may_become and len(data) < LONGEST_HEAD and b"\n\n" not in data and b"\n\r\n" not in data
-        return Look.SHORT if may_become else Look.UNCOMMON
-    match = whole.fullmatch(data, 0, end + 4) if end < LONGEST_HEAD else None
+        # h11 has its own limits and its own errors for a start that cannot become a message, and it also ends a head at
+        # bare line feeds.
+        may_be_common = may_be_common and len(data) < LONGEST_HEAD and b"\n\n" not in data and b"\n\r\n" not in data
+        return Look.SHORT if may_be_common else Look.UNCOMMON
+    match = head_pattern.fullmatch(data, 0, end + 4) if end < LONGEST_HEAD else None
     if match is None:
         return Look.UNCOMMON
-    *first, lines = match.groups()
+    *first, fields = match.groups()
     raw = []
-    for line in lines.split(b"\r\n")[:-1]:
-        name, _, value = line.partition(b":")
+    for field in fields.split(b"\r\n")[:-1]:
+        name, _, value = field.partition(b":")
         raw.append((name.lower(), value.strip(b" \t")))
     headers = dict(raw)
     return Head(tuple(first), raw, headers, end + 4) if len(headers) == len(raw) else Look.UNCOMMON
 
 
-def read_body(data: bytes, head: Head, length: bytes, most: int) -> bytes | Look:
-    """The body that ends `data`, by the text of its length; more than one message at a time is uncommon."""
-    if not _LENGTH.fullmatch(length) or int(length) > most:
+def read_body(data: bytes, head: Head, length: bytes, max_body: int) -> bytes | Look:
+    """The rest of `data` as the body, if it has the given `length`; more than one message at a time is uncommon."""
+    if not _CONTENT_LENGTH.fullmatch(length) or int(length) > max_body:
         return Look.UNCOMMON
-    whole = head.size + int(length)
-    if len(data) != whole:
-        return Look.SHORT if len(data) < whole else Look.UNCOMMON
+    message_size = head.size + int(length)
+    if len(data) != message_size:
+        return Look.SHORT if len(data) < message_size else Look.UNCOMMON
     return data[head.size :]
--- a/calicohitch/net/http.py
+++ b/calicohitch/net/http.py
@@ -1,6 +1,6 @@
-"""Connections that speak HTTP/1.1 by h11, on non-blocking sockets whose every wait can be cancelled.
+"""HTTP/1.1 connections on non-blocking sockets, with h11 as the parser; every wait can be cancelled.
 
-The sockets are used directly: a call's outcome depends on whether its last byte was handed to the kernel.
+The sockets are used directly: the outcome of a call depends on whether the kernel has taken its last byte.
 """
 
 from __future__ import annotations
@@ -26,17 +26,21 @@
 from .head import Look
 
 MAX_BODY = 64 << 10
-_READ = 64 << 10
-_MAX_INTERIM = 16  # 1xx responses in front of one that counts
-_REST_S = 0.5  # from a response's head, or from a first line that says 200, to its last byte
-_FIRST_LINE = 256  # bytes of a response that are kept for the reading of its first line
-_UNSENDABLE = re.compile(rb"[\0\r\n]")
-_BEGINS_200 = re.compile(rb"HTTP/1\.\d 200[ \r\n]")
-# Half a line delivers nothing: the rest of it may never be written.
-_SAYS_200 = re.compile(rb"HTTP/1\.\d 200(?: [^\r\n]*)?\r?\n")
+_READ_BYTES = 64 << 10
+_MAX_INTERIM_RESPONSES = 16  # 1xx responses before the final one
+_RESPONSE_END_TIMEOUT_S = 0.5  # from the head of a response, or a status line of 200, to its last byte
+_STATUS_LINE_BYTES = 256  # bytes of a response that are kept to read its status line
+_FORBIDDEN_IN_HEADER = re.compile(rb"[\0\r\n]")
+_STARTS_WITH_200 = re.compile(rb"HTTP/1\.\d 200[ \r\n]")
+# An incomplete status line is no delivery: the server may never write the rest.
+_STATUS_LINE_200 = re.compile(rb"HTTP/1\.\d 200(?: [^\r\n]*)?\r?\n")
 _LINGER_BYTES = 1 << 20
-_UNDER_WAY = (errno.EINPROGRESS, errno.EINTR, errno.EALREADY)  # connect(2): its end is told when it can be written to
-_MOST_UNREAD = 16  # reads of what nobody waits for any more, before a close
+_CONNECT_IN_PROGRESS = (
+    errno.EINPROGRESS,
+    errno.EINTR,
+    errno.EALREADY,
+)  # connect(2): its result is known once the socket is writable
+_MAX_DISCARD_READS = 16  # reads that discard unread data before a close
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -46,11 +50,11 @@
 
 
 class Moved(ConnectionResetError):
-    """The server is at another address by now: what was asked at the old one says nothing of it."""
+    """The server has moved to another address: a request to the old one says nothing about it."""
 
 
 class Ambiguous(Exception):
-    """A request that another reader may understand otherwise, and find a second request in."""
+    """A request that another HTTP parser may read differently, or as two requests (request smuggling)."""
 
 
 def _family(address: Address) -> socket.AddressFamily:
@@ -71,39 +75,39 @@
 
 
 def close_quietly(sock: socket.socket) -> None:
-    """Close a socket whose last error interests nobody: Linux takes the descriptor back whatever close(2) says."""
+    """Close a socket and ignore an error: Linux releases the descriptor whatever close(2) returns."""
     with suppress(OSError):
         sock.close()
 
 
 def send_at_once(sock: socket.socket, data: bytes | bytearray | memoryview) -> int:
-    """So many bytes the kernel takes now; 0 where it takes none, be it for want of room or of memory. OSError where
-    the connection is of no more use."""
+    """The number of bytes that the kernel takes without blocking; 0 if its buffer is full or memory is short. OSError
+    if the connection is no longer usable."""
     try:
         return sock.send(data)
     except BlockingIOError:
         return 0
-    except OSError as err:
-        if of_this_machine(err, Step.TRANSFER):
+    except OSError as error:
+        if of_this_machine(error, Step.TRANSFER):
             return 0
         raise
 
 
 def receive_at_once(sock: socket.socket) -> bytes | None:
-    """What is there; nothing where the other side has ended its sending, None where nothing can be read now. OSError
-    where the connection is of no more use."""
+    """The bytes that can be read without blocking: empty if the peer has ended its sending, None if there are none yet.
+    OSError if the connection is no longer usable."""
     try:
-        return sock.recv(_READ)
+        return sock.recv(_READ_BYTES)
     except BlockingIOError:
         return None
-    except OSError as err:
-        if of_this_machine(err, Step.TRANSFER):
+    except OSError as error:
+        if of_this_machine(error, Step.TRANSFER):
             return None
         raise
 
 
 def is_quiet(sock: socket.socket) -> bool:
-    """Open, as far as this side has been told, with nothing unread."""
+    """Whether the connection is open, as far as this side knows, and nothing is unread."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -114,61 +118,61 @@
 
 
 def has_ended(sock: socket.socket) -> bool:
-    """The other side has closed the connection, or its sending on it."""
+    """Whether the peer has closed the connection or ended its sending."""
     try:
         return not sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
         return False
-    except OSError as err:
-        return not of_this_machine(err, Step.TRANSFER)
+    except OSError as error:
+        return not of_this_machine(error, Step.TRANSFER)
 
 
 def hang_up(sock: socket.socket) -> None:
-    """Close behind an answer: what is unread would make the close a reset, which takes the answer with it."""
+    """Close after a response: unread data would turn the close into a reset, and the response would be lost."""
     with suppress(OSError):
         sock.shutdown(socket.SHUT_WR)
-        for _ in range(_MOST_UNREAD):
-            if not sock.recv(_READ):
+        for _ in range(_MAX_DISCARD_READS):
+            if not sock.recv(_READ_BYTES):
                 break
     close_quietly(sock)
 
 
 class Link:
-    """One TCP connection; only the task that uses it closes it. `handed`: bytes that the kernel has taken so far."""
+    """One TCP connection, closed only by the task that uses it. `handed`: bytes that the kernel has taken so far."""
 
     handed = 0
-    _starved = False  # the last send failed for want of memory: a poll would call the socket writable
+    _out_of_memory = False  # the last send failed for lack of memory: a poll would report the socket as writable
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
         sock.setblocking(False)
-        with suppress(OSError):  # it works without
+        with suppress(OSError):  # optional
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @classmethod
     async def connect(cls, address: Address) -> Link:
-        """MachineError where this machine could not even try; another OSError where the connect failed."""
+        """Connect; MachineError if this machine could not try, another OSError if the connect failed."""
         try:
             sock = socket.socket(_family(address), socket.SOCK_STREAM)
-        except OSError as err:
-            raise MachineError(err.errno, err.strerror) from err
+        except OSError as error:
+            raise MachineError(error.errno, error.strerror) from error
         link = cls(sock)
         try:
-            await link._connected(address)
+            await link._finish_connect(address)
         except BaseException:
             link.close()
             raise
         return link
 
-    async def _connected(self, address: Address) -> None:
+    async def _finish_connect(self, address: Address) -> None:
         code = self._sock.connect_ex((address.host, address.port))
-        if code in _UNDER_WAY:
+        if code in _CONNECT_IN_PROGRESS:
             await self.wait_writable()
             if code := self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 raise OSError(code, os.strerror(code))
         elif code:
-            failed = OSError(code, os.strerror(code))
-            raise MachineError(code, os.strerror(code)) if of_this_machine(failed, Step.CONNECT) else failed
+            error = OSError(code, os.strerror(code))
+            raise MachineError(code, os.strerror(code)) if of_this_machine(error, Step.CONNECT) else error
 
     async def receive(self) -> bytes:
         while (data := receive_at_once(self._sock)) is None:
@@ -176,52 +180,52 @@
         return data
 
     def receive_some(self) -> bytes:
-        """What is there, nothing where that is nothing."""
+        """The bytes that can be read without blocking; empty if there are none, also after an error."""
         try:
             return receive_at_once(self._sock) or b""
         except OSError:
             return b""
 
     async def send(self, data: bytes) -> None:
-        """Returns once the last byte is handed to the kernel."""
-        left = memoryview(data)
-        while left:
-            if sent := self.send_some(left):
-                left = left[sent:]
+        """Send all of it; returns once the kernel has taken the last byte."""
+        remaining = memoryview(data)
+        while remaining:
+            if sent := self.send_some(remaining):
+                remaining = remaining[sent:]
             else:
                 await self.wait_writable()
 
     def send_some(self, data: bytes | bytearray | memoryview) -> int:
-        """So many bytes the kernel takes at once; 0 where it takes none now."""
+        """The number of bytes that the kernel takes without blocking; may be 0."""
         try:
             sent = self._sock.send(data)
         except BlockingIOError:
             return 0
-        except OSError as err:
-            if not of_this_machine(err, Step.TRANSFER):
+        except OSError as error:
+            if not of_this_machine(error, Step.TRANSFER):
                 raise
-            self._starved = True
+            self._out_of_memory = True
             return 0
         self.handed += sent
         return sent
 
     async def wait_writable(self) -> None:
-        if self._starved:
-            self._starved = False
+        if self._out_of_memory:
+            self._out_of_memory = False
             await anyio.sleep(RETRY_PAUSE_S)
         else:
-            await self._ready(anyio.wait_writable)
+            await self._wait_until_ready(anyio.wait_writable)
 
     async def _wait_readable(self) -> None:
-        await self._ready(anyio.wait_readable)
+        await self._wait_until_ready(anyio.wait_readable)
 
-    async def _ready(self, wait: Callable[[socket.socket], Awaitable[None]]) -> None:
-        """Until the poll says so, also where it takes no more sockets for a moment."""
+    async def _wait_until_ready(self, wait: Callable[[socket.socket], Awaitable[None]]) -> None:
+        """Wait until the poll reports the socket ready; retried if the poll cannot take more sockets for the moment."""
         while True:
             try:
                 return await wait(self._sock)
-            except OSError as err:
-                if not of_this_machine(err, Step.POLL):
+            except OSError as error:
+                if not of_this_machine(error, Step.POLL):
                     raise
                 await anyio.sleep(RETRY_PAUSE_S)
 
@@ -232,7 +236,7 @@
         return has_ended(self._sock)
 
     def shut_down(self) -> None:
-        """Ends every wait on the connection, of whichever task; `close` is still due."""
+        """End every wait on the connection, in any task; `close` still has to be called."""
         with suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
 
@@ -250,51 +254,51 @@
     body: bytes = b""
 
 
-class Reading:
-    """One response, as far as it has come. No I/O. `start`: its first bytes, after any 1xx; `head`: once that came.
-    `told_at`: when its first line was read whole."""
+class ResponseReader:
+    """Parses one response incrementally. No I/O. `first_bytes`: of the response, after any 1xx response; `head`: once
+    it is complete; `status_line_at`: when the status line was complete, in the loop's seconds, or infinity."""
 
-    def __init__(self, most: int) -> None:
-        """`most`: bytes of its body, at most."""
-        self.start, self._most = b"", most
-        self.told_at, self._came_at = math.inf, 0.0
+    def __init__(self, max_body: int) -> None:
+        """`max_body`: the most bytes of its body."""
+        self.first_bytes, self._max_body = b"", max_body
+        self.status_line_at, self._received_at = math.inf, 0.0
         self.head: h11.Response | None = None
-        self._http: h11.Connection | None = None  # the usual response needs none
+        self._http: h11.Connection | None = None  # created only for a response that `net.answer` does not parse
         self._body, self._interim = bytearray(), 0
 
     def receive(self, data: bytes, now: float) -> None:
-        self._came_at = now
-        self._begins(self.start + data[: _FIRST_LINE - len(self.start)])
+        self._received_at = now
+        self._set_first_bytes(self.first_bytes + data[: _STATUS_LINE_BYTES - len(self.first_bytes)])
 
-    def _begins(self, start: bytes) -> None:
-        self.start = start
-        self.told_at = min(self.told_at, self._came_at) if b"\n" in start else math.inf
+    def _set_first_bytes(self, first_bytes: bytes) -> None:
+        self.first_bytes = first_bytes
+        self.status_line_at = min(self.status_line_at, self._received_at) if b"\n" in first_bytes else math.inf
 
-    def go_on(self, data: bytes) -> Response | None:
-        """Read on by h11, with what came since; the response once it is whole. Raises what makes it unreadable."""
-        http = self._http = self._http or self._asked()
+    def parse(self, data: bytes) -> Response | None:
+        """Parse more data by h11; the response once it is complete. Raises if the response is invalid or too long."""
+        http = self._http = self._http or self._client_after_request()
         http.receive_data(data)
         while not isinstance(event := http.next_event(), h11.EndOfMessage):
             if event is h11.NEED_DATA:
                 return None
             if isinstance(event, h11.InformationalResponse):
                 self._interim += 1
-                self.told_at = math.inf
-                self._begins(http.trailing_data[0][:_FIRST_LINE])
+                self.status_line_at = math.inf
+                self._set_first_bytes(http.trailing_data[0][:_STATUS_LINE_BYTES])
             elif isinstance(event, h11.Response):
                 self.head = event
             elif isinstance(event, h11.Data):
                 self._body += event.data
             elif isinstance(event, h11.ConnectionClosed):
                 raise ConnectionResetError("closed without a response")
-            if len(self._body) > self._most or self._interim > _MAX_INTERIM:
+            if len(self._body) > self._max_body or self._interim > _MAX_INTERIM_RESPONSES:
                 raise ConnectionResetError("the response is too long")
         assert self.head is not None
         return Response(self.head.status_code, dict(self.head.headers), bytes(self._body))
 
     @property
     def clean(self) -> bool:
-        """It is whole, with nothing behind it, and another may follow on its connection."""
+        """The response is complete, no data follows it, and the connection can be used again."""
         http = self._http
         return (
             http is not None
@@ -303,8 +307,8 @@
         )
 
     @staticmethod
-    def _asked() -> h11.Connection:
-        """A connection on which a request was sent: what it asked for changes nothing of how its response is read."""
+    def _client_after_request() -> h11.Connection:
+        """An h11 connection after a request; which request it was does not change how the response is parsed."""
         http = h11.Connection(h11.CLIENT)
         http.send(h11.Request(method="GET", target="/", headers=[(b"Host", b"-")]))
         http.send(h11.EndOfMessage())
@@ -316,11 +320,11 @@
 
     def __init__(self, link: Link, max_body: int = MAX_BODY, needs_body: bool = False) -> None:
         self._link, self._max_body, self._needs_body = link, max_body, needs_body
-        self._clean = True  # between requests, with nothing left of the last response
-        self._reading = Reading(max_body)  # of the present response
-        self.sent = False  # whether the last byte of the present request was handed to the kernel
+        self._clean = True  # between requests, with no unread data of the last response
+        self._reader = ResponseReader(max_body)  # of the current response
+        self.sent = False  # whether the kernel has taken the last byte of the current request
         self.idle_since = 0.0
-        self.progress: Callable[[bool], None] | None = None  # told when all is sent, and when an answer begins
+        self.progress: Callable[[bool], None] | None = None  # called with False once all is sent, with True on data
 
     @classmethod
     async def open(cls, address: Address, max_body: int = MAX_BODY, needs_body: bool = False) -> ClientConnection:
@@ -328,30 +332,30 @@
 
     @property
     def reusable(self) -> bool:
-        """Nothing is left of the last response: a second copy of it would answer the next request."""
+        """No data follows the last response: a second copy of it would be taken for the next response."""
         return self._clean and self._link.is_quiet()
 
     @property
     def says_200(self) -> bool:
-        """The whole first line of the present response reads 200, whatever becomes of the rest."""
-        return not self._needs_body and _SAYS_200.match(self._reading.start) is not None
+        """The status line of the current response is complete and 200, whether or not the remainder arrives."""
+        return not self._needs_body and _STATUS_LINE_200.match(self._reader.first_bytes) is not None
 
     @property
     def answered(self) -> bool:
-        """Some part of the present response is here."""
-        return bool(self._reading.start)
+        """Some part of the current response has arrived."""
+        return bool(self._reader.first_bytes)
 
     @property
     def answered_at(self) -> float:
-        """When the first line of the present response was read whole, in the loop's seconds."""
-        return self._reading.told_at
+        """When the status line of the current response was complete, in the loop's seconds, or infinity."""
+        return self._reader.status_line_at
 
     def poll_response(self) -> Response | None:
-        """What is there of an answer that is not waited for any more: the answer, where it is whole or says 200."""
+        """The response to a request that timed out, if what has arrived is complete or has a status line of 200."""
         if data := self._link.receive_some():
-            self._reading.receive(data, anyio.current_time())
+            self._reader.receive(data, anyio.current_time())
             with suppress(h11.RemoteProtocolError, ConnectionResetError):
-                if response := self._reading.go_on(data):
+                if response := self._reader.parse(data):
                     return response
         return Response(200, {}) if self.says_200 else None
 
@@ -359,52 +363,52 @@
         self._link.close()
 
     async def request(self, method: str, target: str, headers: Headers, body: bytes = b"") -> Response:
-        """The server's response. OSError where there is none, or none that can be read; a 200 is believed by
-        its first line alone, unless the body is what was asked for."""
-        self.sent, self._clean, self._reading = False, False, Reading(self._max_body)
+        """Send a request and return the response; OSError if there is none or it is invalid. A status line of 200 is
+        enough, unless the connection was made with `needs_body`."""
+        self.sent, self._clean, self._reader = False, False, ResponseReader(self._max_body)
         if body or method == "POST":
             headers = [*headers, (b"Content-Length", b"%d" % len(body))]
         lines = [b"%s: %s\r\n" % header for header in headers]
-        if any(_UNSENDABLE.search(line, 0, len(line) - 2) for line in lines):
-            raise ValueError("a header holds what cannot be sent in one")
+        if any(_FORBIDDEN_IN_HEADER.search(line, 0, len(line) - 2) for line in lines):
+            raise ValueError("a header contains NUL, CR or LF")
         await self._link.send(b"%s %s HTTP/1.1\r\n%s\r\n%s" % (method.encode(), target.encode(), b"".join(lines), body))
         self.sent = True
         if self.progress:
             self.progress(False)
         try:
             return await self._response()
-        except (h11.RemoteProtocolError, OSError) as err:
+        except (h11.RemoteProtocolError, OSError) as error:
             if self.says_200:
                 return Response(200, {})
-            raise ConnectionResetError(str(err)) from err
+            raise ConnectionResetError(str(error)) from error
 
     async def _response(self) -> Response:
-        """The response: at once if it comes whole and in its usual form, else by h11."""
+        """The response: parsed at once if it arrives complete and in the common form, else by h11."""
         data = await self._receive()
-        found = answer.read(data, self._max_body) if data else Look.UNCOMMON
-        if not isinstance(found, Look):
+        parsed = answer.read(data, self._max_body) if data else Look.UNCOMMON
+        if not isinstance(parsed, Look):
             self._clean = True
-            return Response(*found)
-        with anyio.CancelScope() as rest:  # once it has begun, this bounds how long it may take
-            while (response := self._reading.go_on(data)) is None:
-                begun = self._reading.head or _BEGINS_200.match(self._reading.start)
-                if rest.deadline == math.inf and begun and not self._needs_body:
-                    rest.deadline = anyio.current_time() + _REST_S
+            return Response(*parsed)
+        with anyio.CancelScope() as remainder_scope:  # limits the time of the remainder once the response starts
+            while (response := self._reader.parse(data)) is None:
+                started = self._reader.head or _STARTS_WITH_200.match(self._reader.first_bytes)
+                if remainder_scope.deadline == math.inf and started and not self._needs_body:
+                    remainder_scope.deadline = anyio.current_time() + _RESPONSE_END_TIMEOUT_S
                 data = await self._receive()
-            self._clean = self._reading.clean
+            self._clean = self._reader.clean
             return response
-        raise ConnectionResetError("the rest of the response did not come")
+        raise ConnectionResetError("the response was not completed in time")
 
     async def _receive(self) -> bytes:
         data = await self._link.receive()
         if self.progress:
             self.progress(True)
-        self._reading.receive(data, anyio.current_time())
+        self._reader.receive(data, anyio.current_time())
         return data
 
 
 class PersistentConnection:
-    """A connection to a server that is asked again and again, opened anew where it broke or moved."""
+    """A connection to one server for repeated requests; reopened after a failure or a change of its address."""
 
     def __init__(
         self,
@@ -413,27 +417,27 @@
         needs_body: bool = False,
         descriptor: tuple[DescriptorBudget, DescriptorUse] | None = None,
     ) -> None:
-        """`descriptor`: the budget of descriptors, and whose part of it the connection takes."""
+        """`descriptor`: the budget of descriptors, and the use that the connection is counted under."""
         self._address, self._max_body, self._needs_body, self._descriptor = address, max_body, needs_body, descriptor
         self._connection: ClientConnection | None = None
         self._holds_descriptor = False
         self._connected_to = address
-        self._asking = anyio.CancelScope()
+        self._request_scope = anyio.CancelScope()
 
     def move(self, address: Address) -> None:
-        """The server is there from now on; a request under way at the old address is left."""
+        """Use this address from now on; a request in flight at the old address is cancelled."""
         if address != self._address:
             self._address = address
-            self._asking.cancel()
+            self._request_scope.cancel()
 
     async def request(
-        self, method: str, target: str, limit_s: float, headers: Headers | None = None, body: bytes = b""
+        self, method: str, target: str, timeout_s: float, headers: Headers | None = None, body: bytes = b""
     ) -> Response:
-        """The response; OSError where none came in time, or the server moved meanwhile."""
+        """Send a request and return the response; OSError if there is none in time, Moved if the address changed."""
         address = self._address
         headers = [(b"Host", str(address).encode()), *(headers or [])]
         try:
-            with anyio.fail_after(limit_s), anyio.CancelScope() as self._asking:
+            with anyio.fail_after(timeout_s), anyio.CancelScope() as self._request_scope:
                 connection = self._connection
                 if connection is None or self._connected_to != address or not connection.reusable:
                     self._close()
@@ -443,8 +447,8 @@
                         self._descriptor[1]
                     )
                 response = await connection.request(method, target, headers, body)
-            if self._asking.cancelled_caught or self._address != address:
-                raise Moved(f"the address is now {self._address}")
+            if self._request_scope.cancelled_caught or self._address != address:
+                raise Moved(f"the server is at {self._address} now")
             return response
         except BaseException:
             self._close()
@@ -465,12 +469,12 @@
     headers: dict[bytes, bytes]
     body: bytes
     query: str = ""
-    repeated: frozenset[bytes] = frozenset()  # headers that came twice; `headers` has the last
-    raw: Iterable[tuple[bytes, bytes]] = ()  # all headers, as they came
+    repeated: frozenset[bytes] = frozenset()  # names of repeated headers; `headers` has the last
+    raw: Iterable[tuple[bytes, bytes]] = ()  # all headers, in order
 
 
 class ServerConnection:
-    """A connection from a client, which sends one request at a time."""
+    """A connection from a client, for one request at a time."""
 
     def __init__(self, link: Link) -> None:
         self._link = link
@@ -482,14 +486,14 @@
         return self._link.handed
 
     def feed(self, data: bytes) -> None:
-        """What was read from the connection before this had it."""
+        """Take bytes that were read from the connection before this object was made."""
         self._http.receive_data(data)
 
     def client_left(self) -> bool:
         return self._link.has_ended()
 
     async def started(self) -> bool:
-        """Waits for the first bytes of the next request; False if the client ended the connection instead."""
+        """Wait for the first bytes of the next request; False if the client ended the connection instead."""
         if not self._http.trailing_data[0]:
             data = await self._link.receive()
             self._http.receive_data(data)
@@ -497,14 +501,14 @@
         return True
 
     async def request(self) -> Request | None:
-        """The rest of the request that has started; None if the client left. Raises what h11 finds broken."""
+        """The request that has started, once complete; None if the client closed. Raises if h11 finds it invalid."""
         head: h11.Request | None = None
         body = bytearray()
         while not isinstance(event := self._http.next_event(), h11.EndOfMessage):
             if event is h11.NEED_DATA:
                 if self._http.they_are_waiting_for_100_continue:
-                    go_on = h11.InformationalResponse(status_code=100, headers=[])
-                    await self._link.send(self._http.send(go_on) or b"")
+                    interim = h11.InformationalResponse(status_code=100, headers=[])
+                    await self._link.send(self._http.send(interim) or b"")
                 self._http.receive_data(await self._link.receive())
             elif isinstance(event, h11.Request):
                 head = event
@@ -549,19 +553,19 @@
         await self._link.send(data)
 
     def next(self) -> bool:
-        """Ready for one more request; False where the connection is to be closed."""
+        """Prepare for one more request; False if the connection has to be closed."""
         if self._http.our_state is not h11.DONE or self._http.their_state is not h11.DONE:
             return False
         self._http.start_next_cycle()
         return True
 
     async def linger(self) -> None:
-        """Guards a reply to a request that was not read whole: closing at once would reset the connection
-        and take the reply with it."""
+        """Discard what the client still sends after a response to a request that was not read completely: closing at
+        once would reset the connection, and the response would be lost."""
         self._link.end_sending()
-        left = _LINGER_BYTES
-        while left > 0 and (data := await self._link.receive()):
-            left -= len(data)
+        remaining = _LINGER_BYTES
+        while remaining > 0 and (data := await self._link.receive()):
+            remaining -= len(data)
 
     def close(self) -> None:
         self._link.close()
--- a/tests/orders/test_attempts.py
+++ b/tests/orders/test_attempts.py
@@ -63,7 +63,7 @@
 
 async def answered_in_part(world: Scripted, sent: bytes, breaks: bool = False) -> Outcome:
     """What becomes of a call of whose answer this much comes; then the connection breaks, or nothing more is said."""
-    with mock.patch("calicohitch.net.http._REST_S", 0.05):
+    with mock.patch("calicohitch.net.http._RESPONSE_END_TIMEOUT_S", 0.05):
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(world.call)
             link = await world.accepted()
--- a/tests/test_relay_rules.py
+++ b/tests/test_relay_rules.py
@@ -182,7 +182,7 @@
 
         links: list[Link] = []
         endpoints = Endpoints(world.clock, ("x0", "x1"), 10_000, 1_500, DescriptorBudget(8, {}))
-        with listen(HERE) as listener, mock.patch("calicohitch.net.http._REST_S", 0.05):
+        with listen(HERE) as listener, mock.patch("calicohitch.net.http._RESPONSE_END_TIMEOUT_S", 0.05):
             address = Address(*listener.getsockname())
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(serve)
