--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""Tables of cases for what a relay reads: its configuration, discovery's list, headers, notices."""
+"""Tables of cases for the parsers of a relay: its configuration, discovery responses, headers, notices and notes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Configuration(unittest.TestCase):
-    def test_what_is_wrong_is_named(self) -> None:
+    def test_an_error_names_the_invalid_setting(self) -> None:
         cases: list[tuple[dict[str, Any], str]] = [
             ({"listen": None}, "listen must be HOST:PORT"),
             ({"listen": "127.0.0.1"}, "listen must be HOST:PORT"),
@@ -58,17 +58,17 @@
             ({"seed": "zz"}, "seed"),
             ({"known": []}, "known"),
         ]
-        for change, text in cases:
-            with self.subTest(change=change), self.assertRaisesRegex(ConfigError, text):
+        for change, error in cases:
+            with self.subTest(change=change), self.assertRaisesRegex(ConfigError, error):
                 parse(GOOD | change)
 
-    def test_what_is_told_is_read_and_unknown_keys_are_ignored(self) -> None:
+    def test_settings_are_read_and_unknown_keys_are_ignored(self) -> None:
         config = parse(GOOD | {"peers": ["10.3.0.1:7946"], "peer_listen": "[::1]:7946"})
         self.assertEqual(config.seed, 0x8C1F30D27A5BE964)
         self.assertEqual((config.listen, str(config.peer_listen)), (Address("127.0.0.1", 8080), "[::1]:7946"))
         self.assertEqual(config.names, Names(("orders", "scores"), ("east", "west"), ("pubs",)))
 
-    def test_the_environment_outweighs_the_file(self) -> None:
+    def test_the_environment_overrides_the_file(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder, "config.json")
             path.write_text(json.dumps(GOOD))
@@ -76,67 +76,67 @@
             config = load(env)
             self.assertEqual((config.listen.port, config.state), (1, Path(folder)))
             path.write_text(json.dumps(GOOD | {"discovery": "127.0.0.1:2"}))
-            env["NODE_DISCOVERY"] = "127.0.0.1:3"  # as it was at the start, like the environment
-            fresh = reload(config, env)
-            self.assertEqual((fresh.discovery.port, fresh.listen.port), (2, 1))
+            env["NODE_DISCOVERY"] = "127.0.0.1:3"  # ignored on a reload, since the file has changed this key
+            reloaded = reload(config, env)
+            self.assertEqual((reloaded.discovery.port, reloaded.listen.port), (2, 1))
             path.write_text("{")
-            for bad in ({}, env, {"NODE_CONFIG": folder}):
-                with self.subTest(env=bad), self.assertRaises(ConfigError):
-                    load(bad)
+            for invalid_env in ({}, env, {"NODE_CONFIG": folder}):
+                with self.subTest(env=invalid_env), self.assertRaises(ConfigError):
+                    load(invalid_env)
 
 
-class Lists(unittest.TestCase):
+class DiscoveryResponses(unittest.TestCase):
     def setUp(self) -> None:
         self.directory = Directory(Names(("orders",), ("east", "west"), ("pubs",)))
 
     def read(self, *members: dict[str, Any], complete: bool = True) -> Any:
         return self.directory.read({"revision": 4, "complete": complete, "members": list(members)})
 
-    def test_names_become_numbers(self) -> None:
+    def test_names_are_mapped_to_numbers(self) -> None:
         cases = [("east", "pubs", 0, 0), ("west", "inns", 1, 1), ("moon", None, 2, 1), (1, 0, 1, 0)]
         for zone, kind, zone_number, kind_number in cases:
             with self.subTest(zone=zone, kind=kind):
-                told = member("127.0.0.1:1") | {"locality": zone, "flavor": kind, "up_since_ms": 5}
-                (entry,) = self.read(told).entries
+                item = member("127.0.0.1:1") | {"locality": zone, "flavor": kind, "up_since_ms": 5}
+                (entry,) = self.read(item).entries
                 self.assertEqual((entry.zone, entry.kind, entry.since), (zone_number, kind_number, 5_000))
 
-    def test_ids_keep_their_numbers_and_addresses_may_move(self) -> None:
+    def test_an_id_keeps_its_number_when_its_address_changes(self) -> None:
         update = self.read(member("127.0.0.1:1", "s-1"), member("127.0.0.1:2", "s-2"))
         self.assertEqual(update.event().kind, ListKind.FULL)
         first = update.entries[0].endpoint
         moved = self.read(member("127.0.0.1:9", "s-1"), complete=False)
         self.assertEqual((moved.event().kind, moved.entries[0].endpoint), (ListKind.DELTA, first))
-        there = self.directory.get(first)
-        self.assertEqual(there and there.address, Address("127.0.0.1", 9))
+        known = self.directory.get(first)
+        self.assertEqual(known and known.address, Address("127.0.0.1", 9))
         self.assertIsNotNone(self.directory.get(update.entries[1].endpoint))
         self.read(member("127.0.0.1:9", "s-1"))
         self.assertIsNone(self.directory.get(update.entries[1].endpoint))
 
-    def test_what_has_gone_is_forgotten(self) -> None:
-        for n in range(200):
-            self.read(member("127.0.0.1:1", f"s-{n}"), complete=False)
-            self.read({"id": f"s-{n}", "phase": "Gone"}, {"id": "unheard", "phase": "Gone"}, complete=False)
+    def test_a_gone_endpoint_is_forgotten(self) -> None:
+        for number in range(200):
+            self.read(member("127.0.0.1:1", f"s-{number}"), complete=False)
+            self.read({"id": f"s-{number}", "phase": "Gone"}, {"id": "unheard", "phase": "Gone"}, complete=False)
         self.read(member("127.0.0.1:1", "s-1"))
         self.assertEqual((len(self.directory._members), len(self.directory._numbers)), (1, 1))
         self.assertTrue(self.directory.knows(7))
         self.assertFalse(self.directory.knows(8))
 
-    def test_what_goes_may_be_told_by_its_id_and_phase_alone(self) -> None:
+    def test_a_draining_or_gone_member_needs_its_id_and_phase_only(self) -> None:
         number = self.read(member("127.0.0.1:1")).entries[0].endpoint
         for phase, read in (("Terminating", Phase.DRAINING), ("Gone", Phase.GONE)):
             (entry,) = self.read({"id": "s-1", "phase": phase}, complete=False).entries
             self.assertEqual((entry.endpoint, entry.dest, entry.phase), (number, 7, read))
 
-    def test_a_line_that_cannot_be_read_is_left_out(self) -> None:
-        bad = [{}, member("nowhere"), member("127.0.0.1:1", phase="Asleep"), member("1:1") | {"cell": "x"}, 7]
-        self.assertEqual(len(self.read(*bad, member("127.0.0.1:1")).entries), 1)  # type: ignore[arg-type]
-        for told in ({}, [], None, {"revision": "x", "complete": True, "members": []}):
-            with self.subTest(told=told), self.assertRaises(ListError):
-                self.directory.read(told)
+    def test_an_invalid_member_is_skipped(self) -> None:
+        invalid = [{}, member("nowhere"), member("127.0.0.1:1", phase="Asleep"), member("1:1") | {"cell": "x"}, 7]
+        self.assertEqual(len(self.read(*invalid, member("127.0.0.1:1")).entries), 1)  # type: ignore[arg-type]
+        for response in ({}, [], None, {"revision": "x", "complete": True, "members": []}):
+            with self.subTest(response=response), self.assertRaises(ListError):
+                self.directory.read(response)
 
 
 class Headers(unittest.TestCase):
-    def test_reports(self) -> None:
+    def test_load_reports(self) -> None:
         cases: list[tuple[bytes, tuple[float, ...]]] = [
             (b"x0=0.4,x1=25", (0.4, 25.0)),
             (b" x1=25 , x0=0.4", (0.4, 25.0)),
@@ -150,18 +150,20 @@
             with self.subTest(text=text):
                 self.assertEqual(read_report(text, ("x0", "x1")), report)
 
-    def test_waits(self) -> None:
+    def test_retry_after(self) -> None:
         cases = ((b"340", 340.0), (b"0.5", 0.5), (b"-1", 0.0), (b"", 0.0), (b"inf", 0.0), (b"x", 0.0))
         for text, wait in cases:
             with self.subTest(text=text):
                 self.assertEqual(read_wait(text), wait)
 
-    def test_messages_handed_in(self) -> None:
+    def test_submissions(self) -> None:
         headers = {b"req-id": b"a", b"req-deadline-ms": b"480", b"envelope": b"dest=7"}
         headers[b"req-retry"] = b"again"
-        told = read_submission(Request("POST", "/orders/x", headers, b""), ("scores", "orders"))
-        self.assertEqual((told.class_index, told.dest, told.time_left, told.key), (1, 7, 480, None))
-        self.assertTrue(told.handed_in_again and told.from_dead_relay)
+        submission = read_submission(Request("POST", "/orders/x", headers, b""), ("scores", "orders"))
+        self.assertEqual(
+            (submission.class_index, submission.dest, submission.time_left, submission.key), (1, 7, 480, None)
+        )
+        self.assertTrue(submission.handed_in_again and submission.from_dead_relay)
         cases: list[tuple[dict[bytes, bytes], str, int]] = [
             ({b"envelope": b"a=1; dest=7"}, "POST", 0),
             ({b"envelope": b"dest=7.5"}, "POST", 400),
@@ -189,29 +191,29 @@
 
 
 class Notes(unittest.TestCase):
-    def test_notes_come_from_known_relays_only(self) -> None:
+    def test_notes_of_unknown_senders_are_ignored(self) -> None:
         async def run() -> None:
-            heard: list[tuple[int, bytes]] = []
+            received: list[tuple[int, bytes]] = []
 
             def note(number: int, data: bytes) -> None:
-                heard.append((number, data))
+                received.append((number, data))
 
-            one = Peers(Address("127.0.0.1", 0), (), None, note)
-            here = Address(*one._sock.getsockname())
-            two = Peers(Address("127.0.0.1", 0), (here,), here, note)
+            receiver = Peers(Address("127.0.0.1", 0), (), None, note)
+            here = Address(*receiver._sock.getsockname())
+            sender = Peers(Address("127.0.0.1", 0), (here,), here, note)
             stranger = Peers(Address("127.0.0.1", 0), (here,), None, note)
-            one._numbers = {two._sock.getsockname(): 3}
+            receiver._numbers = {sender._sock.getsockname(): 3}
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(one.run)
+                tasks.start_soon(receiver.run)
                 stranger.send(0, b"who")
-                two.send(0, bytes(257))  # too long to be sent
-                two.send(5, b"no such relay")
-                two.send(0, b"one")
-                two.send(None, b"all")
-                await until(lambda: len(heard) == 2)
+                sender.send(0, bytes(257))  # too long to be sent
+                sender.send(5, b"no such relay")
+                sender.send(0, b"one")
+                sender.send(None, b"all")
+                await until(lambda: len(received) == 2)
                 tasks.cancel_scope.cancel()
-            self.assertEqual(heard, [(3, b"one"), (3, b"all")])
-            for peers in (one, two, stranger):
+            self.assertEqual(received, [(3, b"one"), (3, b"all")])
+            for peers in (receiver, sender, stranger):
                 peers.close()
 
         anyio.run(run)
