--- a/tests/faults/test_sweep.py
+++ b/tests/faults/test_sweep.py
@@ -112,7 +112,7 @@
         lease, journal, memory = began(folder)
         for _ in range(count):
             journal.record_accepted(entry(journal.next_number))
-        left = set(journal._home)
+        left = set(journal._segment_of)
         memory.save(1e12, RestoredState((), ((1, 2),)), str, "d", 1, list)
         journal.close()
         lease.close()
@@ -311,7 +311,7 @@
         def leaves(self: Journal, segment: object, record: bytes) -> None:
             write_all(self._fd, record)
 
-        with mock.patch.object(Journal, "_written", leaves):
+        with mock.patch.object(Journal, "_write_or_truncate", leaves):
             self.assertTrue(self.found("write", errno.ENOSPC, Torn))
 
     def test_a_descriptor_that_leaks(self) -> None:
--- a/tests/faults/test_time.py
+++ b/tests/faults/test_time.py
@@ -1,4 +1,4 @@
-"""The wall clock is set while relays live, and between their lives; what was promised is counted in real time."""
+"""The wall clock is set between incarnations of a relay; deadlines still count in real time."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 STEPS_S = (-3_600.0, -5.0, -0.4, 0.4, 5.0, 3_600.0)
 
 
-class BetweenLives(unittest.TestCase):
-    def test_a_message_has_the_time_left_that_it_had(self) -> None:
-        """The first life is killed before it stored what it knew: only the journal tells from when times count."""
+class BetweenIncarnations(unittest.TestCase):
+    def test_a_message_keeps_its_remaining_time(self) -> None:
+        """The first incarnation is killed before it stored its state, so that only the journal relates its times to a
+        clock."""
         for step in STEPS_S:
             with self.subTest(step=step), tempfile.TemporaryDirectory() as folder:
                 clock = Clock()
@@ -35,7 +36,7 @@
                 self.assertAlmostEqual((entry.attempts[0].sent_at - now) / 1e3, 0.0, delta=0.1)
                 self.assertAlmostEqual((entry.attempts[0].until - now) / 1e3, 0.5, delta=0.1)
 
-    def test_so_after_several_lives_each_with_a_clock_of_its_own(self) -> None:
+    def test_a_message_keeps_its_remaining_time_over_several_clock_changes(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             real, started = time.time, Clock().now()
             first = Journal(Path(folder), 3e6)
@@ -50,9 +51,9 @@
                     incarnation.close()
             last = Journal(Path(folder), 3e6)
             self.addCleanup(last.close)
-            sent = [was.sent_at - started for was in last.entries[1].attempts]
-            for at in sent:
-                self.assertAlmostEqual(at / 1e3, 0.0, delta=0.3)
+            offsets_ms = [attempt.sent_at - started for attempt in last.entries[1].attempts]
+            for offset_ms in offsets_ms:
+                self.assertAlmostEqual(offset_ms / 1e3, 0.0, delta=0.3)
 
 
 if __name__ == "__main__":
--- a/tests/fleet/mutants.py
+++ b/tests/fleet/mutants.py
@@ -59,7 +59,7 @@
     from calicohitch.journal import Journal
 
     def closed(self: Any, number: int) -> None:
-        if number in self._home:
+        if number in self._segment_of:
             self._forget(number)
 
     Journal.record_closed = closed  # type: ignore[method-assign]
