--- a/calicohitch/core/__init__.py
+++ b/calicohitch/core/__init__.py
@@ -1,1 +1,1 @@
-"""What stands between the decisions and the protocols: the seam that intakes and deliveries meet."""
+"""Interfaces between the decision engine and the protocols, and utilities that both sides use."""
--- a/calicohitch/core/call_history.py
+++ b/calicohitch/core/call_history.py
@@ -1,8 +1,8 @@
-"""What is remembered of open calls that are over, for as long as what they did may matter. No I/O and no clock.
+"""Attempts of ended client calls, remembered for as long as the same call may be submitted again. No I/O, no clock.
 
-A call whose client has gone, or that ended as failed, may have run. Until its time and its key's window are over the
-same id may come again, here or after a restart; the attempts that were made then count against it, so that nothing is
-repeated outside its class. Bounded: past `most` the entry whose time ends first goes.
+A call whose client has disconnected, or that failed, may have run. Until its deadline and its key's window are over
+the same id may be submitted again, here or after a restart. Its earlier attempts then count, so that it is not repeated
+against the rules of its class. Bounded: above `capacity` the entry that expires first is dropped.
 """
 
 from __future__ import annotations
@@ -13,39 +13,39 @@
 
 
 class CallHistory:
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._known: dict[str, tuple[float, Entry]] = {}
-        self._ends: list[tuple[float, int, str]] = []
+    def __init__(self, capacity: int) -> None:
+        self._capacity = capacity
+        self._entries: dict[str, tuple[float, Entry]] = {}  # id -> expiry in ms, entry
+        self._expiries: list[tuple[float, int, str]] = []  # a heap of expiry in ms, number, id
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._entries)
 
     def recall(self, wire_id: str) -> Entry | None:
-        found = self._known.get(wire_id)
+        found = self._entries.get(wire_id)
         return found[1] if found else None
 
     def forget(self, wire_id: str) -> None:
-        self._known.pop(wire_id, None)
+        self._entries.pop(wire_id, None)
 
     def remember(self, entry: Entry, window_ms: float, now: float) -> list[int]:
-        """Remember a call that is over; the numbers of what is over for good, to be closed in the journal."""
+        """Remember an ended call. Returns the numbers of calls to be closed in the journal. Times are milliseconds."""
         ran = [attempt.sent_at for attempt in entry.attempts if attempt.may_have_run]
         if not ran:
-            return [entry.number]  # it never ran: whoever comes again begins anew
-        until = max(entry.deadline, max(ran) + window_ms)
+            return [entry.number]  # it never ran: a resubmission starts from scratch
+        expires_at = max(entry.deadline, max(ran) + window_ms)
         entry.body = b""
-        self._known[entry.id] = (until, entry)
-        heapq.heappush(self._ends, (until, entry.number, entry.id))
+        self._entries[entry.id] = (expires_at, entry)
+        heapq.heappush(self._expiries, (expires_at, entry.number, entry.id))
         return self.expired(now)
 
     def expired(self, now: float) -> list[int]:
-        """The numbers of entries whose time is over, or that there is no room for."""
-        over = []
-        while self._ends and (self._ends[0][0] <= now or len(self._known) > self._most):
-            _, number, wire_id = heapq.heappop(self._ends)
-            known = self._known.get(wire_id)
-            if known and known[1].number == number:
-                del self._known[wire_id]
-                over.append(number)
-        return over
+        """Drop expired entries and those above the capacity, and return their numbers."""
+        dropped = []
+        while self._expiries and (self._expiries[0][0] <= now or len(self._entries) > self._capacity):
+            _, number, wire_id = heapq.heappop(self._expiries)
+            found = self._entries.get(wire_id)
+            if found and found[1].number == number:
+                del self._entries[wire_id]
+                dropped.append(number)
+        return dropped
--- a/calicohitch/core/change_notifier.py
+++ b/calicohitch/core/change_notifier.py
@@ -1,4 +1,4 @@
-"""Word between tasks of one loop that something has changed."""
+"""Notification between tasks of one event loop that something has changed."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class ChangeNotifier:
-    """Wakes all who wait; each looks for itself what is new. Costs next to nothing while nobody waits."""
+    """Wakes all waiting tasks; each finds out by itself what has changed. Cheap while no task waits."""
 
-    __slots__ = ("_waited_for",)
+    __slots__ = ("_event",)
 
     def __init__(self) -> None:
-        self._waited_for: anyio.Event | None = None
+        self._event: anyio.Event | None = None
 
     def notify(self) -> None:
-        if event := self._waited_for:
-            self._waited_for = None
+        if event := self._event:
+            self._event = None
             event.set()
 
     async def wait(self) -> None:
-        if self._waited_for is None:
-            self._waited_for = anyio.Event()
-        await self._waited_for.wait()
+        if self._event is None:
+            self._event = anyio.Event()
+        await self._event.wait()
--- a/calicohitch/core/descriptor_budget.py
+++ b/calicohitch/core/descriptor_budget.py
@@ -1,4 +1,4 @@
-"""Descriptors as one budget: who holds how many, and who may have one more. No I/O."""
+"""The process's budget of file descriptors: how many each use holds, and whether it may have another. No I/O."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class DescriptorUse(Enum):
-    """Who holds descriptors, in the order in which they may have one: what delivers goes before what comes in."""
+    """What descriptors are used for, in order of precedence: deliveries before intakes."""
 
-    RELAY = "relay"  # listeners, the journal, the claim on it, the poll, what the interpreter holds
+    RELAY = "relay"  # listeners, the journal, the folder lease, epoll, the interpreter
     NOTICES = "notices"
     DISCOVERY = "discovery"
     CALLS = "calls"
@@ -18,15 +18,15 @@
     CLIENTS = "clients"
 
 
-_FIXED = 21  # the listener, notes, the journal, the claim on it, the poll, and what the interpreter holds
+_FIXED = 21  # for the listener, notes between relays, the journal, the folder lease, epoll and the interpreter
 
 
 def divide_descriptors(sockets: int, grpc: int = 0) -> DescriptorBudget:
-    """The budget of a relay that may hold so many descriptors, of which gRPC has a part where it is on: half are for
-    clients, one each for notices, discovery and tracing, and calls have the rest."""
+    """The budget of a relay with `sockets` descriptors, `grpc` of them for gRPC: half are for clients, one each for
+    notices, discovery and tracing, and the remainder for calls."""
     clients, others = sockets // 2, _FIXED + 3 + grpc
     calls = max(1, sockets - clients - others)
-    kept = {
+    reserved = {
         DescriptorUse.RELAY: _FIXED,
         DescriptorUse.NOTICES: 1,
         DescriptorUse.DISCOVERY: 1,
@@ -35,25 +35,27 @@
         DescriptorUse.CALLS: calls,
         DescriptorUse.CLIENTS: clients,
     }
-    descriptors = DescriptorBudget(sum(kept.values()), kept)
-    descriptors.held.update({DescriptorUse.RELAY: _FIXED, DescriptorUse.GRPC: grpc})  # for good
+    descriptors = DescriptorBudget(sum(reserved.values()), reserved)
+    descriptors.held.update({DescriptorUse.RELAY: _FIXED, DescriptorUse.GRPC: grpc})  # never released
     return descriptors
 
 
 class DescriptorBudget:
-    """`total` descriptors. `kept` are set aside for a holder: nobody else can take them."""
+    """`total` descriptors, of which `reserved` are for one use each and not available to others."""
 
-    def __init__(self, total: int, kept: dict[DescriptorUse, int]) -> None:
-        if sum(kept.values()) > total:
-            raise ValueError(f"{sum(kept.values())} descriptors are set aside of {total}")
-        self.total, self._kept = total, dict(kept)
+    def __init__(self, total: int, reserved: dict[DescriptorUse, int]) -> None:
+        if sum(reserved.values()) > total:
+            raise ValueError(f"{sum(reserved.values())} descriptors are reserved of {total}")
+        self.total, self._reserved = total, dict(reserved)
         self.held: Counter[DescriptorUse] = Counter()
         self.refused: Counter[DescriptorUse] = Counter()
 
     def free_for(self, holder: DescriptorUse) -> int:
-        """How many more it may have: what is free, less what is set aside for others and not in use."""
-        aside = sum(max(0, kept - self.held[other]) for other, kept in self._kept.items() if other is not holder)
-        return max(0, self.total - self.held.total() - aside)
+        """How many more `holder` may have: the free ones, less those reserved for other uses and not held yet."""
+        unavailable = sum(
+            max(0, count - self.held[other]) for other, count in self._reserved.items() if other is not holder
+        )
+        return max(0, self.total - self.held.total() - unavailable)
 
     def acquire(self, holder: DescriptorUse) -> bool:
         if not self.free_for(holder):
@@ -64,10 +66,10 @@
 
     def release(self, holder: DescriptorUse) -> None:
         if not self.held[holder]:
-            raise ValueError(f"{holder.value} holds no descriptor to give back")
+            raise ValueError(f"{holder.value} holds no descriptor to release")
         self.held[holder] -= 1
 
     def summary(self) -> str:
-        """The ledger in one line."""
+        """The descriptors held by each use, in one line for the log."""
         parts = ", ".join(f"{holder.value} {self.held[holder]}" for holder in DescriptorUse if self.held[holder])
         return f"{self.held.total()} of {self.total} descriptors: {parts or 'none'}"
--- a/calicohitch/core/files.py
+++ b/calicohitch/core/files.py
@@ -1,4 +1,4 @@
-"""Writing files whole."""
+"""Complete writes of files."""
 
 from __future__ import annotations
 
@@ -6,21 +6,22 @@
 import os
 from pathlib import Path
 
-_NEW = ".new"
+_TEMPORARY_SUFFIX = ".new"
 
 
 def replace_text(path: Path, text: str) -> None:
-    """Put this text in place of a file's: a kill or a full disk in the middle leaves the old one. OSError where it
-    cannot be done. Not for what is written often: a file system may write the new file out before it takes the name."""
-    new = path.with_name(path.name + _NEW)
-    new.write_text(text, encoding="utf-8")
-    new.replace(path)
+    """Replace the text of a file atomically: after a kill or on a full disk the old text remains. Raises OSError if
+    that fails. Not for frequent writes: a file system may flush the new file before it renames it."""
+    temporary = path.with_name(path.name + _TEMPORARY_SUFFIX)
+    temporary.write_text(text, encoding="utf-8")
+    temporary.replace(path)
 
 
 def write_all(fd: int, data: bytes) -> None:
-    """All of it, however few bytes each write takes; OSError where one takes none, and a part may be written."""
-    left = memoryview(data)
-    while left:
-        if not (written := os.write(fd, left)):
+    """Write all of `data`, also over short writes. Raises OSError if a write fails or writes nothing; a part of `data`
+    may then be written."""
+    remaining = memoryview(data)
+    while remaining:
+        if not (written := os.write(fd, remaining)):
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        left = left[written:]
+        remaining = remaining[written:]
--- a/calicohitch/core/invariants.py
+++ b/calicohitch/core/invariants.py
@@ -1,8 +1,8 @@
-"""What must hold whatever the decisions say, checked as the relay runs. No I/O, no clock.
+"""Invariants that hold whatever the decision engine decides, checked at run time. No I/O, no clock.
 
-A check stands in front of the one act that could break its invariant. A violation is a fault of this program: the act
-is not made, the violation is counted and logged by its name with the message's id, and the tests' auditors look for
-it.
+Each check stands in front of the one act that could violate its invariant. A violation is a bug in this program: the
+act does not take place, and the violation is counted and logged by its name with the message's id. The tests' auditors
+look for that log line.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Invariant(Enum):
-    """The name of each is what the log says."""
+    """Names and values appear in the log."""
 
     ONE_ATTEMPT_OUT = "one attempt of a message is out at a time"
     UNSAFE_RUNS_ONCE = "an unsafe message that may have run is not sent again"
@@ -27,13 +27,13 @@
 
 
 class Invariants:
-    """Counts of violations, by invariant."""
+    """Checks invariants and counts their violations."""
 
     def __init__(self) -> None:
         self.violations: Counter[Invariant] = Counter()
 
     def holds(self, invariant: Invariant, held: bool, message: str) -> bool:
-        """`held`, counted and logged where it is not so."""
+        """Returns `held`; counts and logs a violation if it is false."""
         if not held:
             self.violations[invariant] += 1
             logger.bind(event="invariant.violated", invariant=invariant.name, message=message).error(
@@ -42,7 +42,7 @@
         return held
 
     def may_send(self, message: str, message_class: MessageClass, attempts: Sequence[Attempt], now_ms: float) -> bool:
-        """Whether the last of these attempts may be made, by what is known of the earlier ones."""
+        """Whether the last of `attempts` may be made, given the outcomes of the earlier ones."""
         ran = [attempt.sent_at for attempt in attempts[:-1] if attempt.may_have_run]
         if not ran:
             return True
--- a/calicohitch/core/protocols.py
+++ b/calicohitch/core/protocols.py
@@ -1,11 +1,10 @@
-"""The two small interfaces that every protocol stands behind.
+"""The interfaces that every protocol implements, and those between the relay and replication.
 
-An **intake** makes a `Submission` of what it reads and calls `Relay.submit`. Where its client is to be told at once
-that the message is taken on (HTTP/1.1: 202), it calls `accept` after that, and the end goes to the platform as a
-notice. Where the client's call stays open until the end (gRPC), it gives a `Reply`, and that is told the one end
-instead.
+An **intake** turns what it reads into a `Submission` and calls `Relay.submit`. If its client is answered as soon as the
+message is accepted (HTTP/1.1: 202), it then calls `accept`, and the end is sent to the platform as a notice. If the
+client's call stays open until the end (gRPC), it passes a `Reply`, which receives the one end instead.
 
-A **delivery** makes one attempt and says how it ended: never a second one of its own, whatever its library would do.
+A **delivery** makes one attempt and returns its result. It never retries by itself, whatever its library would do.
 """
 
 from __future__ import annotations
@@ -26,7 +25,7 @@
 
 
 class Refusal(Enum):
-    """Why a message was not taken on, or not once more."""
+    """Why a message was not accepted, or not accepted again."""
 
     STARTING = "the relay is starting"
     STOPPING = "the relay is stopping"
@@ -41,21 +40,22 @@
 
     @property
     def retry_after_ms(self) -> float:
-        """After how long its client may hand it in again: here once there is room, else at once at another relay."""
+        """The advised delay before the client submits it again: here once there is capacity, else at another relay."""
         return 1_000.0 if self in (Refusal.FULL, Refusal.UNKNOWN, Refusal.BUSY, Refusal.NOT_REPLICATED) else 100.0
 
 
 class EndKind(Enum):
-    """The one end of a message whose client waits for it."""
+    """How a message ended whose client waits for the end."""
 
     DELIVERED = "delivered"
-    REFUSED = "refused"  # harmless to hand in again
-    FAILED = "failed"  # given up, and it may have run
+    REFUSED = "refused"  # safe to submit again
+    FAILED = "failed"  # abandoned, and it may have run
 
 
 @dataclass(frozen=True, slots=True)
 class MessageEnd:
-    """`retry_in` in milliseconds, 0 for no advice; `answer` is the delivery's, for the intake of its protocol."""
+    """The end of a message. `retry_in` is the advised delay in milliseconds, 0 for none; `answer` is the delivery's,
+    for the intake of the same protocol."""
 
     kind: EndKind
     retry_in: float = 0.0
@@ -64,16 +64,16 @@
 
 
 class Reply(Protocol):
-    """A client's call that is open until its message's end."""
+    """A client's call that stays open until its message ends."""
 
     def ended(self, end: MessageEnd) -> None:
-        """Told exactly once, unless the message was withdrawn before; must not wait."""
+        """Called exactly once, unless the message was withdrawn before. Must not block."""
 
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """A message as it is handed in, in whatever protocol. `time_left` in milliseconds. With a `reply` the message is
-    its client's open call: it outlasts this process as a memory of what was tried, not as work to be done."""
+    """A message as it is submitted, in any protocol. `time_left` in milliseconds. With a `reply` the message is its
+    client's open call: after a restart its attempts are remembered, and it is not delivered."""
 
     id: str
     class_index: int
@@ -83,29 +83,30 @@
     body: bytes
     handed_in_again: bool = False
     from_dead_relay: bool = False
-    headers: Iterable[tuple[bytes, bytes]] = ()  # as they came, for those who follow a message's path
-    protocol: int = 0  # by the numbers of `interface.PROTOCOLS`
+    headers: Iterable[tuple[bytes, bytes]] = ()  # as received, for tracing
+    protocol: int = 0  # index in `interface.PROTOCOLS`
     reply: Reply | None = None
-    content: Any = None  # what a delivery of the same protocol needs beside the body
+    content: Any = None  # what a delivery of the same protocol needs besides the body
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One attempt as it goes to an endpoint; `timeout` in milliseconds."""
+    """One attempt as it is sent to an endpoint; `timeout` in milliseconds."""
 
     id: str
     key: str | None
     body: bytes
     timeout: float
-    more: Sequence[tuple[bytes, bytes]] = ()  # headers that go with it
-    marks: AttemptFacts | None = None  # where its progress is noted, for those who follow it
+    more: Sequence[tuple[bytes, bytes]] = ()  # additional headers
+    marks: AttemptFacts | None = None  # where its progress is recorded for tracing
     content: Any = None
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """How a call ended; `ended`: nothing more is owed for its message. `wait` in milliseconds. `stale`: its
-    connection was kept from an earlier call, and broke before any answer. `answer` goes to the message's `Reply`."""
+    """How a call ended. `ended`: its message needs nothing more. `wait`: the retry-after in milliseconds. `stale`: its
+    connection was kept alive from an earlier call, and broke before any answer. `answer` is passed to the message's
+    `Reply`."""
 
     outcome: Outcome
     ended: bool = False
@@ -117,80 +118,80 @@
 
 
 class Replicator(Protocol):
-    """What a relay knows of copies of its work, where other relays hold them (`failover/`). Messages go by their
-    numbers; of those that are not copied all is safe, and all may be done."""
+    """What a relay knows of the replicas of its messages at other relays (`failover/`). Messages are identified by
+    their numbers. A message that is not replicated counts as safe, and every act on it is allowed."""
 
     def attach(self, relay: Adopter) -> None: ...
 
     async def run(self) -> None: ...
 
     async def begin(self, entries: dict[int, Entry]) -> set[int]:
-        """Settle whose the folder's messages are: the numbers of those that are others' by now."""
+        """Determine who owns the folder's messages, and return the numbers of those that other relays own by now."""
 
     def covers(self, entry: Entry) -> bool:
-        """Whether a message is copied, or was."""
+        """Whether a message is or was replicated."""
 
     def refuses(self, class_index: int, wire_id: str) -> Refusal | None:
-        """Why no message of this class can be taken on now; None where one can."""
+        """Why a message of this class cannot be accepted now; None if it can."""
 
     def opening(self, entry: Entry) -> None:
-        """A message is about to be journaled; `abandoned` follows where that cannot be done."""
+        """A message is about to be journaled; `abandoned` follows if that fails."""
 
     def abandoned(self, number: int) -> None: ...
 
     def record(self, number: int, payload: bytes, over: bool) -> None:
-        """A record of the journal was written; the last of its message where `over`."""
+        """A record of the journal was written; `over`: the last one of its message."""
 
     def record_wait(self, route: int, until: float) -> None:
-        """A destination, or an endpoint's route below zero, told to wait until then."""
+        """A destination, or, below zero, the route of an endpoint, asked for no calls until then (retry-after)."""
 
     def is_copied(self, number: int) -> bool: ...
 
     def may_be_accepted(self, number: int) -> bool:
-        """Whether its client may be told that it is taken on."""
+        """Whether its client may be answered that it is accepted."""
 
     async def until_accepted(self, number: int, within_s: float) -> bool: ...
 
     async def until_safe(self, number: int, within_s: float) -> bool:
-        """Until all that was recorded of it is copied as its class asks; False where that takes longer."""
+        """Wait until all its records are replicated as its class requires; False if that takes longer."""
 
     def when_safe(self, number: int, then: Callable[[], None]) -> None: ...
 
     def may_act(self, number: int) -> bool:
-        """Whether it is proved right now that nobody else has it."""
+        """Whether it is certain at present that no other relay owns the message."""
 
     def may_end(self) -> bool:
-        """Whether ends may be told now."""
+        """Whether ends may be reported now."""
 
     @property
     def ends_waiting(self) -> int:
-        """Ends that wait until they are copied."""
+        """The number of ends that wait for their replication."""
 
 
 class Adopter(Protocol):
-    """What takes over others' messages: a relay."""
+    """Takes over the messages of other relays; implemented by the relay."""
 
     def adopt(self, entries: Sequence[Entry]) -> list[int]:
-        """Journal them under numbers of its own, and do nothing with them yet."""
+        """Journal the messages under new numbers, which are returned, without acting on them yet."""
 
     def confirm(self, numbers: Sequence[int], waits: Mapping[int, float]) -> None:
-        """They are its own now. `waits`: routes that told to wait, until when by its clock."""
+        """The messages are its own now. `waits`: the end of the retry-after of routes, by its clock."""
 
     def drop(self, numbers: Sequence[int]) -> None:
-        """They are not."""
+        """The messages are not its own: discard them."""
 
 
 class Delivery(Protocol):
-    """Attempts in one protocol, over connections of its own."""
+    """Makes attempts in one protocol, over its own connections."""
 
     async def call(
         self, endpoint: int, address: Address, call: Call, scope: anyio.CancelScope, wanted: Callable[[], bool]
     ) -> Result:
-        """One attempt. `wanted` is asked once a new connection is up; False ends the attempt as moot before its
-        first byte. Cancelling `scope` gives it up."""
+        """Make one attempt. `wanted` is called once a new connection is established; False ends the attempt as moot
+        before its first byte. Cancelling `scope` aborts it."""
 
     def close_idle(self, endpoint: int) -> None:
-        """Shut the connections to an endpoint that have no call on them."""
+        """Close the connections to an endpoint that carry no call."""
 
     async def run(self) -> None:
-        """What the connections need as long as the relay lives."""
+        """Maintain the connections for as long as the relay runs."""
--- a/calicohitch/core/signals.py
+++ b/calicohitch/core/signals.py
@@ -1,8 +1,8 @@
-"""What a process is told by signals, from the first moment of its service to the last.
+"""Signal handling for as long as the service runs.
 
-A signal whose handler is not there yet, or not any more, ends the process with whatever is open. So the three are
-blocked outside of `heeded` (by the program's first line, and again before the handlers go): one that comes then is
-pending, and is heard or goes with the process.
+A signal without a handler, before the handlers are installed or after they are removed, kills the process with its
+open work. So the three signals are blocked outside of `handling_signals` (by the program's first line, and again before
+the handlers are removed): one that arrives then is pending until it is handled or the process exits.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 import anyio
 from loguru import logger
 
-HEARD = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
+HANDLED_SIGNALS = frozenset({signal.SIGTERM, signal.SIGINT, signal.SIGHUP})
 
 
 class SignalState:
-    """`stop` is set by the first SIGTERM or SIGINT; more of them change nothing. SIGHUP calls `on_reload`, at any time
-    until the end; one that came before it was set is made up for."""
+    """`stop` is set by the first SIGTERM or SIGINT; further ones only call `on_stop` again. SIGHUP calls the reload
+    handler; one that arrived before the handler was set calls it when it is set."""
 
     def __init__(self) -> None:
         self.stop = anyio.Event()
@@ -36,7 +36,7 @@
     def receive(self, number: int) -> None:
         if number != signal.SIGHUP:
             if self.stop.is_set():
-                logger.bind(event="relay.stopping_already").info("told to stop again: it is stopping")
+                logger.bind(event="relay.stopping_already").info("received another stop signal; already stopping")
             self.stop.set()
             self.on_stop()
         elif self._on_reload:
@@ -47,26 +47,26 @@
 
 @asynccontextmanager
 async def handling_signals() -> AsyncIterator[SignalState]:
-    """Hear signals for as long as this lasts. The mask of the calling thread is as before when it is over, and from
-    before the handlers go: where the program blocked them, nothing ends it on the way out."""
-    told = SignalState()
-    before = signal.pthread_sigmask(signal.SIG_BLOCK, ())
-    with anyio.open_signal_receiver(*HEARD) as signals:
+    """Handle signals inside of the context. The calling thread's signal mask is restored before the handlers are
+    removed: if the program had blocked the signals, none of them kills it during the shutdown."""
+    state = SignalState()
+    previous_mask = signal.pthread_sigmask(signal.SIG_BLOCK, ())
+    with anyio.open_signal_receiver(*HANDLED_SIGNALS) as signals:
 
         async def listen() -> None:
             async for number in signals:
-                told.receive(number)
+                state.receive(number)
 
-        failed: BaseException | None = None  # what ended the service, as it is: a task group would wrap it
+        failed: BaseException | None = None  # re-raised outside of the task group, which would wrap it
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(listen)
-            signal.pthread_sigmask(signal.SIG_UNBLOCK, HEARD)
+            signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
             try:
-                yield told
+                yield state
             except Exception as err:
                 failed = err
             finally:
-                signal.pthread_sigmask(signal.SIG_SETMASK, before)
+                signal.pthread_sigmask(signal.SIG_SETMASK, previous_mask)
                 tasks.cancel_scope.cancel()
         if failed:
             raise failed
--- a/calicohitch/core/system_errors.py
+++ b/calicohitch/core/system_errors.py
@@ -1,8 +1,8 @@
-"""Whose trouble a failed system call is, and what to do about it. No I/O.
+"""Classification of failed system calls: where the cause lies, and whether to retry. No I/O.
 
-An errno alone does not say it: ENETUNREACH from `connect` itself is this machine's routing table, and the same code as
-the socket's later error came over the network. So callers name the step at which the call failed. Sources: the Linux
-manual pages accept(2), connect(2), socket(2), send(2), recv(2), epoll_ctl(2), open(2) and write(2).
+The errno alone is ambiguous: ENETUNREACH from `connect` itself refers to this machine's routing table, while the same
+code as a later error of the socket came over the network. So callers name the step at which the call failed. Sources:
+the Linux manual pages accept(2), connect(2), socket(2), send(2), recv(2), epoll_ctl(2), open(2) and write(2).
 """
 
 from __future__ import annotations
@@ -11,31 +11,31 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-RETRY_PAUSE_S = 0.01  # before a call that failed for want of something on this machine is made again
+RETRY_PAUSE_S = 0.01  # before a call that failed for lack of a local resource is retried
 
 
 class Party(Enum):
-    """Whose trouble it is."""
+    """Where the cause of an error lies."""
 
-    MACHINE = auto()  # the relay's own machine: memory, descriptors, ports, routes, its disk
+    MACHINE = auto()  # the relay's own machine: memory, descriptors, ports, routes, disk
     NETWORK = auto()
     PEER = auto()
 
 
 class Step(Enum):
-    """The call that failed. CONNECT is the call itself, CONNECTED the socket's error once the connect had its end."""
+    """The call that failed. CONNECT is the call itself, CONNECTED the socket's error after the connect completed."""
 
     SOCKET = auto()
     CONNECT = auto()
     CONNECTED = auto()
     ACCEPT = auto()
-    TRANSFER = auto()  # send, recv and the options of a socket that was connected
+    TRANSFER = auto()  # send, recv and the options of a connected socket
     POLL = auto()
     FILE = auto()
 
 
 class Retry(Enum):
-    """Whether the same call may be made again."""
+    """Whether and when the same call may be retried."""
 
     AT_ONCE = auto()
     LATER = auto()  # after `RETRY_PAUSE_S`
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Trouble:
-    """What a failed call means. `may_have_left`: bytes that were handed over before may have reached the peer."""
+    """What a failed call means. `may_have_left`: bytes of earlier calls may have reached the peer."""
 
     party: Party
     retry: Retry
@@ -52,21 +52,21 @@
 
 
 class MachineError(OSError):
-    """A call failed for this machine's own reasons: nothing left it, and the same call may work a little later."""
+    """A call failed for a local reason: nothing was sent, and the same call may succeed a little later."""
 
 
 OUT_OF_DESCRIPTORS = frozenset({errno.EMFILE, errno.ENFILE})
 
-# Of descriptors, memory or ports: only the caller's own machine says these.
+# Lack of descriptors, memory or ports: only the local machine reports these.
 _EXHAUSTED = OUT_OF_DESCRIPTORS | {errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
-_NO_WAY_OUT = frozenset(
+_NO_LOCAL_ROUTE = frozenset(
     {errno.EAGAIN, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN, errno.EACCES, errno.EPERM}
-)  # said by connect itself: no port, route or permission here
+)  # from connect itself: no local port, route or permission
 _NETWORK = frozenset(
     {errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ENETDOWN, errno.EHOSTDOWN, errno.ENONET}
 )
-# accept(2) passes on errors of the connection that it would have given: it is gone, and the next one may be there.
-_GONE_UNACCEPTED = frozenset(
+# accept(2) reports errors of the connection that it would have returned: that one is lost, and the next may be ready.
+_LOST_BEFORE_ACCEPT = frozenset(
     {
         errno.ECONNABORTED,
         errno.ECONNRESET,
@@ -82,8 +82,8 @@
         errno.ETIMEDOUT,
     }
 )
-# Of a file or folder: no waiting mends these.
-_LASTING = frozenset(
+# Errors of a file or folder that no retry resolves.
+_PERMANENT = frozenset(
     {
         errno.EROFS,
         errno.EACCES,
@@ -100,29 +100,29 @@
     }
 )
 
-_AGAIN = Trouble(Party.MACHINE, Retry.AT_ONCE)
+_INTERRUPTED = Trouble(Party.MACHINE, Retry.AT_ONCE)
 _SHORTAGE = Trouble(Party.MACHINE, Retry.LATER)
 
 
 def trouble(error: OSError, step: Step) -> Trouble:
-    """What a call that failed at this step means."""
+    """Classify an error of a call that failed at `step`."""
     code = error.errno
     if code == errno.EINTR:
-        return _AGAIN
+        return _INTERRUPTED
     if isinstance(error, MachineError):
         return _SHORTAGE
     if step is Step.FILE:
-        return Trouble(Party.MACHINE, Retry.NEVER if code in _LASTING else Retry.LATER)
+        return Trouble(Party.MACHINE, Retry.NEVER if code in _PERMANENT else Retry.LATER)
     if code in _EXHAUSTED or step is Step.SOCKET or step is Step.POLL and code == errno.ENOSPC:
         return _SHORTAGE
-    if step is Step.CONNECT and code in _NO_WAY_OUT:
+    if step is Step.CONNECT and code in _NO_LOCAL_ROUTE:
         return _SHORTAGE
     if step is Step.ACCEPT:
-        return Trouble(Party.PEER, Retry.AT_ONCE if code in _GONE_UNACCEPTED else Retry.LATER)
+        return Trouble(Party.PEER, Retry.AT_ONCE if code in _LOST_BEFORE_ACCEPT else Retry.LATER)
     party = Party.NETWORK if code in _NETWORK else Party.PEER
     return Trouble(party, Retry.NEVER, may_have_left=step is Step.TRANSFER)
 
 
 def of_this_machine(error: BaseException, step: Step) -> bool:
-    """Whether a call failed for want of something here, and may work a little later."""
+    """Whether a call failed for a local reason, so that it may succeed a little later."""
     return isinstance(error, OSError) and trouble(error, step).party is Party.MACHINE
--- a/calicohitch/core/tasks.py
+++ b/calicohitch/core/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that last as long as their relay does."""
+"""Tasks that run for as long as the relay."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 import anyio
 from loguru import logger
 
-_PAUSE_S = 0.1
+_RESTART_PAUSE_S = 0.1
 
 
 async def restart_on_failure(run: Callable[[], Awaitable[None]]) -> None:
-    """Run a task again whenever it breaks off or ends: a fault in one of them is not to end the relay."""
+    """Restart a task whenever it fails or returns, so that a bug in one task does not end the relay."""
     while True:
         try:
             await run()
         except Exception:
             logger.exception("a task broke off and is started again")
-        await anyio.sleep(_PAUSE_S)
+        await anyio.sleep(_RESTART_PAUSE_S)
--- a/tests/faults/test_refusals.py
+++ b/tests/faults/test_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals that carry no report, where answers do: a destination that is shut may leave it out."""
+"""Refusals without a report, from routes whose answers carry one: a closed destination may omit it."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class WithoutAReport(unittest.TestCase):
-    def test_it_found_nothing_left_all_the_same(self) -> None:
-        """Two hundred relays that held messages for a shut destination sent them at their usual rate as it came back
-        cold: simulated, 115 calls in a window whose budget was 66."""
+    def test_a_refusal_counts_as_nothing_left(self) -> None:
+        """Two hundred relays that held messages for a closed destination sent them at their usual rate when it
+        restarted in slow start: in the simulator, 115 calls in a window with a budget of 66."""
         for relays in (12, 200):
             with self.subTest(relays=relays):
                 shares = [share_of(relays, FIELDS) for _ in range(2)]
@@ -26,7 +26,7 @@
                     shares[1].observe(n * SECOND, (0.0, 60.0), True)
                 self.assertAlmostEqual(shares[0].rate(), shares[1].rate())
 
-    def test_it_tells_nothing_where_no_limit_is_known(self) -> None:
+    def test_a_refusal_has_no_effect_without_a_known_limit(self) -> None:
         share = share_of(200, FIELDS)
         share.observe(SECOND, (), True)
         self.assertEqual((share.limit, share.reported, share.rate()), (0.0, False, 0.0))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -159,11 +159,11 @@
             share.message_arrived(n * SECOND // 4)
             share.observe(n * SECOND // 4, (1.0, 80.0), False)
         share.observe(5 * SECOND, (0.9, 80.0), True)
-        once = share._times
+        once = share._fraction
         share.observe(5 * SECOND + 300 * MS, (0.9, 80.0), True)
-        self.assertEqual(share._times, once)
+        self.assertEqual(share._fraction, once)
         share.observe(7 * SECOND, (0.9, 80.0), True)
-        self.assertLess(share._times, once)
+        self.assertLess(share._fraction, once)
 
     def learned(self, times: float = 1.0) -> SharedLimit:
         """One of 200 that knows a limit of 200 a second and is told twice a second, as two messages come a second."""
@@ -171,7 +171,7 @@
         for n in range(60):
             share.message_arrived(n * SECOND // 2)
             share.observe(n * SECOND // 2, (0.5, 200.0), False)
-        share._times = times
+        share._fraction = times
         return share
 
     def test_a_lowered_limit_lowers_what_is_sent_at_once(self) -> None:
@@ -183,11 +183,11 @@
         self.assertAlmostEqual(share.rate() / before, 0.5 / 1.4, delta=0.08)  # from what comes, not from above it
         share = self.learned(times=0.5)
         share.observe(31 * SECOND, (0.5, 400.0), False)
-        self.assertAlmostEqual(share._times, 1.0, delta=0.05)
+        self.assertAlmostEqual(share._fraction, 1.0, delta=0.05)
         noisy = self.learned(times=1.4)
         noisy.observe(31 * SECOND, (0.5, 160.0), False)
         self.assertAlmostEqual(noisy.limit, 180.0, delta=1.0)
-        self.assertGreater(noisy._times, 1.3)
+        self.assertGreater(noisy._fraction, 1.3)
 
     def test_growth_counts_all_of_the_time_without_an_answer(self) -> None:
         often, seldom = self.learned(times=0.5), self.learned(times=0.5)
@@ -195,7 +195,7 @@
             often.observe((60 + n) * SECOND // 2, (1.0, 200.0), False)
         for n in (1, 2):
             seldom.observe((30 + 3 * n) * SECOND - SECOND // 2, (1.0, 200.0), False)
-        self.assertAlmostEqual(often._times, seldom._times, delta=0.1)
+        self.assertAlmostEqual(often._fraction, seldom._fraction, delta=0.1)
 
     def test_the_lists_word_for_a_limit_holds_until_an_answer_tells_it(self) -> None:
         """After a restart no limit was known, and 562 calls were refused at one destination in a second."""
