--- a/calicohitch/recovery/__init__.py
+++ b/calicohitch/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Coming back: who owns the folder, what of it is whole, what is stored and believed, and the pace of a return."""
+"""Recovery after a start: ownership of the state folder, journal repair, cached state, and the phases of recovery."""
--- a/calicohitch/recovery/cached_state.py
+++ b/calicohitch/recovery/cached_state.py
@@ -1,8 +1,8 @@
-"""What a relay stores of the world beside its messages, and for how long that is believed. No I/O, no clock.
+"""The state of the platform that a relay caches for its next start, and how long it is valid. No I/O, no clock.
 
-What is stored is a starting point: the first fresh word replaces it. Each part has an age beyond which it is not
-believed; the ages and their reasons are in `docs/design/recovery.md`. A told wait ends by a restart, as the
-platform's protocol has it, unless the operators' file says that it outlasts one.
+The cached state is a starting point: the first new information replaces it. Each part has a maximum age; the ages and
+their reasons are in `docs/design/recovery.md`. A retry-after ends with a restart, as the platform's protocol specifies,
+unless the operators' file says that it outlasts a restart.
 """
 
 from __future__ import annotations
@@ -17,30 +17,31 @@
 from .clocks import Moment, between
 
 FORMAT = 1
-MOST_BYTES = 64 << 10
-MOST_MEMBERS = MOST_BYTES // 100  # none takes fewer bytes: a longer list is left out before it is written down
-LIST_MS = 600_000.0  # discovery is asked anyway; an older list names too few that are still there
-LIMIT_MS = 30_000.0  # the first answer replaces it; destinations change limits within a minute
-HEALTH_MS = 10_000.0  # the longest ramp on the platform
-SHARE_MS = 60_000.0  # 100 endings of a class take about as long
-ROLLED_BACK_MS = 30_000.0  # a folder is written every second while work is open: one that old may be a copy
-_LARGEST = 1e9  # of a rate or limit a second; a larger one can only be damage
+MAX_STATE_BYTES = 64 << 10
+MOST_MEMBERS = MAX_STATE_BYTES // 100  # no member takes fewer bytes: a longer list is left out before it is encoded
+MAX_LIST_AGE_MS = 600_000.0  # discovery is polled anyway; an older list names too few endpoints that still exist
+MAX_LIMIT_AGE_MS = 30_000.0  # the first answer replaces it; destinations change their limits within a minute
+MAX_HEALTH_AGE_MS = 10_000.0  # the longest slow start on the platform
+MAX_ON_TIME_AGE_MS = 60_000.0  # 100 messages of a class end in about that time
+ROLLED_BACK_MS = 30_000.0  # the state is written every second while work is open: an older folder may be a copy
+_MAX_RATE_PER_S = 1e9  # a larger rate or limit can only be damage
 
 
 class InvalidCachedState(Exception):
-    """What is stored cannot be read; the text says why."""
+    """The cached state cannot be read; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRoute:
-    """One route as it was. `endpoint` names it where endpoints are routes apart. `limit` in calls a second, `times` and
-    `came` as in `core/shared_limit.py`; `cold_since` and `wait_until` in wall milliseconds, 0 for none."""
+    """The last known state of a route. `endpoint`: its name where each endpoint is a route of its own. `limit`: calls a
+    second. `arrival_share`: messages that may be sent, as a share of those that arrive; this and `arrivals_per_s` as in
+    `core/shared_limit.py`. `cold_since`, `wait_until`: wall-clock milliseconds, 0 for none."""
 
     dest: int
     endpoint: str = ""
     limit: float = 0.0
-    times: float = 1.0
-    came: float = 0.0
+    arrival_share: float = 1.0
+    arrivals_per_s: float = 0.0
     failing: bool = False
     cold_since: float = 0.0
     wait_until: float = 0.0
@@ -48,7 +49,8 @@
 
 @dataclass(frozen=True, slots=True)
 class CachedState:
-    """All that is stored. `members` in discovery's form; `on_time` by class: how many of how many were in time."""
+    """All that is cached. `members`: in the form that discovery returns. `on_time`: by class, the number of messages
+    that ended in time and the number of all that ended."""
 
     written: Moment
     incarnation: int = 0
@@ -61,8 +63,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ValidatedState:
-    """What of it holds now, times moved to the wall clock as it is. `left_out`: parts with their ages in milliseconds
-    and why. `rolled_back`: the folder may be a copy from before its relay's last acts."""
+    """What of the cached state is valid now, with times converted to the present wall clock. `passed`: its age in
+    milliseconds. `set_by`: how far the wall clock was set since, in milliseconds. `left_out`: each part that is not
+    used, with its age in milliseconds and the reason. `rolled_back`: the folder may be a copy that lacks the relay's
+    last records."""
 
     passed: float
     set_by: float
@@ -74,135 +78,137 @@
     rolled_back: bool = False
 
 
-def encode(beliefs: CachedState) -> bytes:
-    """One line of JSON behind its checksum. A list too long for the bound is left out."""
-    told = {
+def encode(state: CachedState) -> bytes:
+    """A checksum and one line of JSON. An endpoint list that does not fit into `MAX_STATE_BYTES` is left out."""
+    record = {
         "format": FORMAT,
-        "life": beliefs.incarnation,
-        "written": [beliefs.written.wall, beliefs.written.mono, beliefs.written.boot],
-        "discovery": beliefs.discovery,
-        "revision": beliefs.revision,
-        "members": list(beliefs.members),
+        "life": state.incarnation,
+        "written": [state.written.wall, state.written.mono, state.written.boot],
+        "discovery": state.discovery,
+        "revision": state.revision,
+        "members": list(state.members),
         "routes": [
             [
-                r.dest,
-                r.endpoint,
-                round(r.limit, 3),
-                round(r.times, 4),
-                round(r.came, 4),
-                int(r.failing),
-                round(r.cold_since),
-                round(r.wait_until),
+                route.dest,
+                route.endpoint,
+                round(route.limit, 3),
+                round(route.arrival_share, 4),
+                round(route.arrivals_per_s, 4),
+                int(route.failing),
+                round(route.cold_since),
+                round(route.wait_until),
             ]
-            for r in beliefs.routes
+            for route in state.routes
         ],
-        "on_time": beliefs.on_time,
+        "on_time": state.on_time,
     }
-    data = json.dumps(told, separators=(",", ":")).encode()
-    if len(data) > MOST_BYTES:
-        data = json.dumps(told | {"members": [], "revision": -1}, separators=(",", ":")).encode()
+    data = json.dumps(record, separators=(",", ":")).encode()
+    if len(data) > MAX_STATE_BYTES:
+        data = json.dumps(record | {"members": [], "revision": -1}, separators=(",", ":")).encode()
     return b"%08x " % zlib.crc32(data) + data
 
 
 def decode(data: bytes) -> CachedState:
-    """What was stored; InvalidCachedState where it is not whole, or says what cannot be."""
+    """The encoded state; InvalidCachedState if it is damaged, of another format, or has impossible values."""
     if data[8:9] != b" " or data[:8] != b"%08x" % zlib.crc32(data[9:]):
-        raise InvalidCachedState("its checksum is wrong")
+        raise InvalidCachedState("the checksum is wrong")
     try:
-        told = json.loads(data[9:])
-        if told["format"] != FORMAT:
-            raise InvalidCachedState(f"it is of format {told['format']!r}, and this program reads {FORMAT}")
-        wall, mono, boot = told["written"]
+        record = json.loads(data[9:])
+        if record["format"] != FORMAT:
+            raise InvalidCachedState(f"it is in format {record['format']!r}, and this program reads format {FORMAT}")
+        wall, mono, boot = record["written"]
         return CachedState(
-            Moment(_number(wall, 1e15), _number(mono, 1e15), str(boot)),
-            int(told["life"]),
-            str(told["discovery"]),
-            int(told["revision"]),
-            tuple(item for item in told["members"] if isinstance(item, dict)),
-            tuple(route for item in told["routes"] if (route := _route(item))),
+            Moment(_parse_number(wall, 1e15), _parse_number(mono, 1e15), str(boot)),
+            int(record["life"]),
+            str(record["discovery"]),
+            int(record["revision"]),
+            tuple(raw for raw in record["members"] if isinstance(raw, dict)),
+            tuple(route for raw in record["routes"] if (route := _parse_route(raw))),
             {
-                str(name): (int(good), int(of))
-                for name, (good, of) in told["on_time"].items()
-                if 0 <= int(good) <= int(of) <= 1_000_000
+                str(name): (int(in_time), int(total))
+                for name, (in_time, total) in record["on_time"].items()
+                if 0 <= int(in_time) <= int(total) <= 1_000_000
             },
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as err:
-        raise InvalidCachedState(f"it cannot be understood: {type(err).__name__}: {err}") from err
+        raise InvalidCachedState(f"it cannot be decoded: {type(err).__name__}: {err}") from err
 
 
-def _number(told: Any, most: float, least: float = 0.0) -> float:
-    value = float(told)
-    if not (math.isfinite(value) and least <= value <= most):
-        raise ValueError(f"{told!r} is out of bounds")
+def _parse_number(raw: Any, maximum: float, minimum: float = 0.0) -> float:
+    value = float(raw)
+    if not (math.isfinite(value) and minimum <= value <= maximum):
+        raise ValueError(f"{raw!r} is out of bounds")
     return value
 
 
-def _route(item: Any) -> KnownRoute | None:
-    """One that says what cannot be is left out alone."""
+def _parse_route(raw: Any) -> KnownRoute | None:
+    """The decoded route; None if it has impossible values, so that only this route is left out."""
     try:
-        dest, endpoint, limit, times, came, failing, cold, wait = item
+        dest, endpoint, limit, arrival_share, arrivals_per_s, failing, cold, wait = raw
         return KnownRoute(
             int(dest),
             str(endpoint),
-            _number(limit, _LARGEST),
-            _number(times, 100.0),
-            _number(came, _LARGEST),
+            _parse_number(limit, _MAX_RATE_PER_S),
+            _parse_number(arrival_share, 100.0),
+            _parse_number(arrivals_per_s, _MAX_RATE_PER_S),
             bool(failing),
-            _number(cold, 1e15),
-            _number(wait, 1e15),
+            _parse_number(cold, 1e15),
+            _parse_number(wait, 1e15),
         )
     except (TypeError, ValueError, OverflowError):
         return None
 
 
 def validate(
-    beliefs: CachedState,
+    state: CachedState,
     now: Moment,
     discovery: str,
     known_revision: int,
     classes: Sequence[str],
     waits_outlast: bool = False,
 ) -> ValidatedState:
-    """What of it holds at `now`, by its age and what the configuration says: `known_revision` is that of the list
-    there, -1 for none."""
-    gap = between(beliefs.written, now)
+    """What of the cached state is valid at `now`, by its age and the configuration. `known_revision`: the revision of
+    the endpoint list in the configuration, -1 for none. `waits_outlast`: a retry-after outlasts a restart."""
+    gap = between(state.written, now)
     age, left_out = gap.passed, []
-    members, revision = beliefs.members, beliefs.revision
-    if members and (beliefs.discovery != discovery or revision <= known_revision or age > LIST_MS):
-        why = (
-            "it is of another discovery"
-            if beliefs.discovery != discovery
+    members, revision = state.members, state.revision
+    if members and (state.discovery != discovery or revision <= known_revision or age > MAX_LIST_AGE_MS):
+        reason = (
+            "it is from another discovery service"
+            if state.discovery != discovery
             else "it is too old"
-            if age > LIST_MS
-            else "the configuration's is as new"
+            if age > MAX_LIST_AGE_MS
+            else "the configured list is as new"
         )
-        left_out.append(("the list", age, why))
+        left_out.append(("the list", age, reason))
         members, revision = (), -1
     routes = []
-    for route in beliefs.routes:
-        fresh, healthy = age <= LIMIT_MS, age <= HEALTH_MS
+    for route in state.routes:
+        fresh, healthy = age <= MAX_LIMIT_AGE_MS, age <= MAX_HEALTH_AGE_MS
         wait = route.wait_until + gap.set_by if waits_outlast and route.wait_until else 0.0
         cold = route.cold_since + gap.set_by if healthy and route.cold_since else 0.0
-        kept = KnownRoute(
+        valid = KnownRoute(
             route.dest,
             route.endpoint,
             route.limit if fresh else 0.0,
-            route.times if fresh else 1.0,
-            route.came if fresh else 0.0,
+            route.arrival_share if fresh else 1.0,
+            route.arrivals_per_s if fresh else 0.0,
             route.failing and healthy,
             cold,
             wait if wait > now.wall else 0.0,
         )
-        if kept != KnownRoute(route.dest, route.endpoint):
-            routes.append(kept)
-    for part, limit_ms, there in (
-        ("limits", LIMIT_MS, any(r.limit for r in beliefs.routes)),
-        ("health", HEALTH_MS, any(r.failing or r.cold_since for r in beliefs.routes)),
-        ("on-time shares", SHARE_MS, bool(beliefs.on_time)),
+        if valid != KnownRoute(route.dest, route.endpoint):
+            routes.append(valid)
+    for part, max_age_ms, present in (
+        ("limits", MAX_LIMIT_AGE_MS, any(stored.limit for stored in state.routes)),
+        ("health", MAX_HEALTH_AGE_MS, any(stored.failing or stored.cold_since for stored in state.routes)),
+        ("on-time shares", MAX_ON_TIME_AGE_MS, bool(state.on_time)),
     ):
-        if there and age > limit_ms:
+        if present and age > max_age_ms:
             left_out.append((part, age, "too old"))
-    on_time = {name: of for name, of in beliefs.on_time.items() if name in classes} if age <= SHARE_MS else {}
+    on_time = (
+        {name: counts for name, counts in state.on_time.items() if name in classes} if age <= MAX_ON_TIME_AGE_MS else {}
+    )
     return ValidatedState(
         age,
         gap.set_by,
--- a/calicohitch/recovery/clocks.py
+++ b/calicohitch/recovery/clocks.py
@@ -1,13 +1,15 @@
-"""What time passed between two lives, and how far the wall clock was set meanwhile. No I/O but `now`.
-
-Stored times are wall-clock times. Between lives the wall clock may have been set; the monotonic clock cannot be, and
-runs on while the machine does. So a moment is written as both, with the name of the boot that the monotonic clock
-counts from:
-
-- the same boot: the monotonic clock says what passed, and the rest of the difference is how far the wall clock was set;
-- another boot: the wall clock is all there is. One that went back went back by at least what it lacks, and no time
-  counts as passed, so that no key lives longer by it; one that went forward cannot be told from time that passed, and
-  counts as that: what is too old is ended, which is the safe side of a repeat.
+"""The time that passed between two incarnations, and how far the wall clock was set meanwhile. No I/O except in `now`.
+
+Stored times are wall-clock times. Between two incarnations the wall clock may have been set. The monotonic clock cannot
+be set, and runs for as long as the machine is up. A moment is therefore stored as both, with the id of the boot that
+the monotonic clock counts from:
+
+- same boot: the monotonic clock gives the time that passed, and the rest of the wall-clock difference is how far the
+  wall clock was set;
+- different boot: only the wall clock is known. If it went back, it was set back by at least the difference, and no
+  time counts as passed, so that an idempotency key is not used for longer than its window. If it went forward,
+  that cannot be distinguished from time that passed and counts as such: expired messages are ended, which cannot
+  cause a repeat.
 """
 
 from __future__ import annotations
@@ -19,14 +21,14 @@
 from functools import lru_cache
 from pathlib import Path
 
-_BOOT_READS = 5  # a read may fail for a moment, and a boot that is not known counts as another one
-_BOOT = Path("/proc/sys/kernel/random/boot_id")
-_NOISE_MS = 1.0  # two clocks that are read one behind the other differ by less
+_BOOT_ID_READS = 5  # a read may fail for a moment, and an unknown boot id counts as a different boot
+_BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
+_CLOCK_NOISE_MS = 1.0  # two clocks that are read one after the other differ by less
 
 
 @dataclass(frozen=True, slots=True)
 class Moment:
-    """`wall` in milliseconds of Unix time, `mono` in milliseconds since the boot that `boot` names; empty: unknown."""
+    """`wall`: milliseconds of Unix time. `mono`: milliseconds since the boot with the id `boot`; empty: unknown."""
 
     wall: float
     mono: float = 0.0
@@ -35,35 +37,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Between:
-    """`passed` milliseconds lie between two moments; `set_by` is to be added to a time stored at the first of them, to
-    have it on the wall clock as it is now."""
+    """`passed`: milliseconds between two moments. `set_by`: milliseconds to add to a time stored at the first moment to
+    convert it to the present wall clock."""
 
     passed: float
     set_by: float = 0.0
 
 
 @lru_cache(maxsize=1)
-def _boot() -> str:
-    return _BOOT.read_text(encoding="ascii").strip()
+def _boot_id() -> str:
+    return _BOOT_ID_PATH.read_text(encoding="ascii").strip()
 
 
 def now(wall: float) -> Moment:
-    """This moment; `wall` as the relay's clock tells it."""
+    """The present moment; `wall` is the time of the relay's clock."""
     mono = time.monotonic() * 1e3
-    for _ in range(_BOOT_READS):
+    for _ in range(_BOOT_ID_READS):
         with suppress(OSError, ValueError):
-            return Moment(wall, mono, _boot())
+            return Moment(wall, mono, _boot_id())
     return Moment(wall, mono)
 
 
 def between(first: Moment, second: Moment) -> Between:
-    """What passed from one moment to a later one."""
+    """The time from one moment to a later one, and by how much the wall clock was set in it."""
     wall = second.wall - first.wall
     if not all(map(math.isfinite, (first.wall, first.mono))):
         return Between(0.0)
     if first.boot and first.boot == second.boot and second.mono >= first.mono:
         passed = second.mono - first.mono
-        return Between(passed, wall - passed if abs(wall - passed) > _NOISE_MS else 0.0)
+        return Between(passed, wall - passed if abs(wall - passed) > _CLOCK_NOISE_MS else 0.0)
     if wall < 0:
-        return Between(0.0, wall if wall < -_NOISE_MS else 0.0)
+        return Between(0.0, wall if wall < -_CLOCK_NOISE_MS else 0.0)
     return Between(wall)
--- a/calicohitch/recovery/indeterminate.py
+++ b/calicohitch/recovery/indeterminate.py
@@ -1,8 +1,9 @@
-"""What becomes of a message whose records may be incomplete, by its class. No I/O, no clock.
+"""How a message whose records may be incomplete is treated, by its class. No I/O, no clock.
 
-What is missing is unknown, and unknown may have run. So a doubtful message is told to the decisions with one more
-attempt that may have run, sent at the earliest time that it can have been: a safe class goes again, a keyed one inside
-the window that is left from then, and the rest end as failed, all by the rules that hold for known attempts.
+An attempt that is missing from the records may have run. The decision engine is therefore given a doubtful message with
+one more attempt that may have run, sent at the earliest time at which it can have been sent. Messages of a safe class
+are retried, those of a keyed class within what is left of the key window from that time, and the others end as failed,
+all by the rules that apply to known attempts.
 """
 
 from __future__ import annotations
@@ -12,13 +13,13 @@
 
 
 def earliest(entry: Entry, cls: MessageClass) -> float:
-    """The first time, in milliseconds, that an attempt nobody knows of can have been made: not before the message was
-    taken on, and not before the journal was last whole."""
+    """The earliest time, in milliseconds, of an attempt that is missing from the records: not before the message was
+    accepted, and not before the time up to which the journal is complete."""
     return max(entry.deadline - cls.deadline / 1e3, entry.complete_until)
 
 
 def missing_attempt(entry: Entry, cls: MessageClass) -> Attempt | None:
-    """The attempt to be told beside the known ones; None where a known one is as bad."""
+    """The attempt to add to the known ones; None if a known attempt limits the message at least as much."""
     if not entry.doubtful:
         return None
     since = earliest(entry, cls)
@@ -28,7 +29,7 @@
 
 
 def end_of(entry: Entry, cls: MessageClass) -> End | None:
-    """The end of a message that cannot be delivered any more, since its body is lost; None where it can be."""
+    """The end of a message that cannot be delivered because its body is lost; None if it can be delivered."""
     if not entry.bodiless or entry.end:
         return None
     return End(handed_back=cls.harmless_again)
--- a/calicohitch/recovery/problems.py
+++ b/calicohitch/recovery/problems.py
@@ -1,4 +1,4 @@
-"""Why a folder that lasts cannot be used, each with an exit code of its own and what to do about it."""
+"""Errors of the state folder, each with its own exit code and a hint for the operator."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 
 
 class FolderProblem(Exception):
-    """A relay cannot serve from its folder. The text is one line: what is wrong, and what would do."""
+    """The relay cannot run on its folder. The text is one line: what is wrong, and what to do about it."""
 
     exit_code = 73
 
 
 class FolderFailing(FolderProblem):
-    """Its disk refuses, or this machine lacks something for a moment: the same may work a little later."""
+    """The disk fails or the machine lacks a resource, possibly for a moment: a retry may succeed."""
 
 
 class FolderInUse(FolderProblem):
-    """Another process holds the folder, and is alive."""
+    """Another live process owns the folder."""
 
     exit_code = 75
 
 
 class FolderLost(FolderProblem):
-    """The folder was this process's, and a later life has it now."""
+    """This process owned the folder, and a later incarnation owns it now."""
 
     exit_code = 76
 
 
 class FolderNewer(FolderProblem):
-    """A newer program wrote it, in a format that this one cannot read."""
+    """A newer version of the program wrote the folder, in a format that this version cannot read."""
 
     exit_code = 78
 
 
 class NameTaken(FolderProblem):
-    """Another process is alive under this relay's name, and it does not have this folder."""
+    """Another live process uses this relay's name with a different folder."""
 
     exit_code = 77
 
 
 class WorkTaken(FolderProblem):
-    """This relay's work was taken over; a new start takes up what nobody has claimed."""
+    """Other relays took over this relay's work; a new start recovers the messages that none of them claimed."""
 
     exit_code = 79
 
@@ -61,7 +61,7 @@
 
 
 def unusable(folder: Path, err: OSError) -> FolderProblem:
-    """What an error of the file system means for the folder."""
+    """The problem that a file system error on the folder amounts to; FolderFailing if a retry may succeed."""
     hint = _HINTS.get(err.errno or 0, "look at its disk, or name another in NODE_STATE")
     kind = FolderProblem if trouble(err, Step.FILE).retry is Retry.NEVER else FolderFailing
     return kind(f"the folder {folder} cannot be used ({err.strerror or err}): {hint}")
--- a/calicohitch/recovery/reading.py
+++ b/calicohitch/recovery/reading.py
@@ -1,6 +1,7 @@
-"""Returns as logs tell them: a table a relay and one for the fleet. Reads lines, gives rows; no I/O but iterating.
+"""Reads recoveries from relays' logs: one row a relay, and a summary of the fleet. Takes lines; no I/O of its own.
 
-Both forms of the log are read: JSON lines by their `event`, and text by the words that the relay writes there.
+Both log formats are read: JSON lines by their `text`, and plain text lines. Either way the recovery messages that the
+relay writes are matched.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 
 PHASES = ("up", "folder", "list", "limits", "backlog", "full", "unended")
 KINDS = ("restored", "fresh", "refused", "served")
-_LIFE = re.compile(r"life (\d+) has the folder")
+_INCARNATION = re.compile(r"life (\d+) has the folder")
 _PHASE = re.compile(r"return: ([a-z]+) after ([\d.]+) ms(?: \(([^)]*)\))?")
 _SECOND = re.compile(r"return: second (\d+): (.*)")
-_PAIR = re.compile(r"(\d+) ([a-z]+)")
+_COUNT_AND_NAME = re.compile(r"(\d+) ([a-z]+)")
 
 
 @dataclass
 class Incarnation:
-    """One return of one relay: milliseconds by phase, counts by second."""
+    """One recovery of one relay. `phases`: milliseconds by phase; `seconds`: counts by second."""
 
     relay: str
     number: int = 0
@@ -42,44 +43,48 @@
 
 
 def read(relay: str, lines: Iterable[str]) -> list[Incarnation]:
-    """The returns of one log, in its order; what is none of theirs is skipped."""
+    """The recoveries of one log, in its order; other lines are skipped."""
     incarnations: list[Incarnation] = []
     for line in lines:
-        if "has the folder" in line and (found := _LIFE.search(line)):
+        if "has the folder" in line and (found := _INCARNATION.search(line)):
             incarnations.append(Incarnation(relay, int(found[1])))
         elif "return: " in line and incarnations:
-            _take(incarnations[-1], _text(line))
+            _parse_message(incarnations[-1], _message_text(line))
     return [incarnation for incarnation in incarnations if incarnation.phases]
 
 
-def _text(line: str) -> str:
-    """The words of a line, in whichever form it is."""
+def _message_text(line: str) -> str:
+    """The log message of a line of either format; empty for malformed JSON."""
     if line.startswith("{"):
         try:
-            told = json.loads(line)
+            record = json.loads(line)
         except ValueError:
             return ""
-        return str(told.get("text", "")) if isinstance(told, dict) else ""
+        return str(record.get("text", "")) if isinstance(record, dict) else ""
     return line
 
 
-def _take(incarnation: Incarnation, text: str) -> None:
+def _parse_message(incarnation: Incarnation, text: str) -> None:
     if found := _PHASE.search(text):
         if found[1] in PHASES:
             incarnation.phases[found[1]] = float(found[2])
-            incarnation.facts |= {name: int(count) for count, name in _PAIR.findall(found[3] or "")}
+            incarnation.facts |= {name: int(count) for count, name in _COUNT_AND_NAME.findall(found[3] or "")}
     elif found := _SECOND.search(text):
         incarnation.seconds[int(found[1])] = {
-            name: int(count) for count, name in _PAIR.findall(found[2]) if name in KINDS
+            name: int(count) for count, name in _COUNT_AND_NAME.findall(found[2]) if name in KINDS
         }
 
 
 def fleet(incarnations: list[Incarnation]) -> dict[str, Any]:
-    """Of all returns: median and worst milliseconds to each phase, how many reached it, counts by second."""
+    """Summary of all recoveries: median and worst milliseconds to each phase, how many reached it, counts by second."""
     phases = {}
     for phase in PHASES:
-        if at := sorted(incarnation.phases[phase] for incarnation in incarnations if phase in incarnation.phases):
-            phases[phase] = {"reached": len(at), "median_ms": statistics.median(at), "worst_ms": at[-1]}
+        if times_ms := sorted(incarnation.phases[phase] for incarnation in incarnations if phase in incarnation.phases):
+            phases[phase] = {
+                "reached": len(times_ms),
+                "median_ms": statistics.median(times_ms),
+                "worst_ms": times_ms[-1],
+            }
     seconds: dict[int, Counter[str]] = {}
     for incarnation in incarnations:
         for second, counts in incarnation.seconds.items():
--- a/calicohitch/recovery/state_cache.py
+++ b/calicohitch/recovery/state_cache.py
@@ -1,7 +1,7 @@
-"""What the relay keeps of the world for its next life, and what it takes over from the last one.
+"""Stores the state of the platform for the next incarnation, and loads what the last one stored.
 
-Between the decisions, which know numbers and microseconds of their own clock, and `cached_state`, which knows names and
-wall milliseconds.
+Converts between the decision engine, which uses endpoint numbers and microseconds of its own clock, and `cached_state`,
+which uses endpoint names and wall-clock milliseconds.
 """
 
 from __future__ import annotations
@@ -18,75 +18,80 @@
 from . import cached_state, clocks
 from .state_files import StateFiles
 
-_NO_SHARE = (0.0, 1.0, 0.0)  # of a route that no answer told a limit of, and no message came for
-_WORTH_A_LINE_MS = 1_000.0  # clocks that are steered differ by less
-_EVERY_MS = 1_000.0  # between two writes, while something changes or work is open
+_NO_SHARE = (0.0, 1.0, 0.0)  # of a route without a known limit and without messages
+_LOGGED_CLOCK_CHANGE_MS = 1_000.0  # synchronised clocks are set by less
+_SAVE_INTERVAL_MS = 1_000.0  # while something changes or work is open
 
 
 class StateCache:
-    """One relay's stored beliefs. `read` once at the start, `keep` now and then."""
+    """The cached state of one relay: `read` once at the start, `save` at intervals."""
 
     def __init__(self, folder: Path, incarnation: int, classes: Sequence[str], waits_outlast: bool = False) -> None:
         self._files, self._incarnation, self._classes = StateFiles(folder), incarnation, classes
         self._waits_outlast = waits_outlast
-        self._saved_at = -_EVERY_MS
-        self._failed = False
-        self.found: cached_state.CachedState | None = None
-        self.validated: cached_state.ValidatedState | None = None
+        self._saved_at = -_SAVE_INTERVAL_MS
+        self._save_failed = False
+        self.found: cached_state.CachedState | None = None  # as it was stored
+        self.validated: cached_state.ValidatedState | None = None  # what of it is valid
 
     def read(self, wall: float, discovery: str, known_revision: int) -> None:
-        """What an earlier life stored, as far as it is believed at `wall`; the rest is logged once with its age."""
+        """Load what an earlier incarnation stored, as far as it is valid at `wall`; each other part is logged with its
+        age."""
         try:
             self.found = self._files.read()
         except cached_state.InvalidCachedState as err:
-            logger.bind(event="recovery.unread").warning("what an earlier life knew is not believed: {}", err)
+            logger.bind(event="recovery.unread").warning(
+                "the cached state of an earlier incarnation is not used: {}", err
+            )
             return
         if self.found is None:
             return
         now = clocks.now(wall)
-        told = self.validated = cached_state.validate(
+        validated = self.validated = cached_state.validate(
             self.found, now, discovery, known_revision, self._classes, self._waits_outlast
         )
-        for part, age, why in told.left_out:
+        for part, age, reason in validated.left_out:
             logger.bind(event="recovery.old", part=part, age_ms=age).info(
-                "stored {} of {:.1f} s ago: not believed, {}", part, age / 1e3, why
+                "cached state not used: {}, {:.1f} s old: {}", part, age / 1e3, reason
             )
-        if abs(told.set_by) > _WORTH_A_LINE_MS:
-            logger.bind(event="recovery.clock", set_by_ms=told.set_by).warning(
-                "the wall clock was set by {:+.1f} s since an earlier life: its times are moved", told.set_by / 1e3
+        if abs(validated.set_by) > _LOGGED_CLOCK_CHANGE_MS:
+            logger.bind(event="recovery.clock", set_by_ms=validated.set_by).warning(
+                "the wall clock was set by {:+.1f} s since an earlier incarnation: its times are corrected",
+                validated.set_by / 1e3,
             )
 
     def correct_entries(self, entries: Sequence[Entry]) -> None:
-        """Move the times of an earlier life's messages to the wall clock as it is now, and doubt them all where the
-        folder may be a copy of long ago: what was tried since is not in it."""
-        told, found = self.validated, self.found
-        if told is None or found is None or not entries:
+        """Convert the times of messages of an earlier incarnation to the present wall clock. If the folder may be an
+        old copy, mark all of them doubtful: attempts made since the copy are missing from it."""
+        validated, found = self.validated, self.found
+        if validated is None or found is None or not entries:
             return
-        if told.set_by:
+        if validated.set_by:
             for entry in entries:
                 if entry.on_this_clock:
-                    continue  # the journal knew its moment
-                entry.deadline += told.set_by
-                entry.complete_until += told.set_by
+                    continue  # the journal has converted its times already
+                entry.deadline += validated.set_by
+                entry.complete_until += validated.set_by
                 for attempt in entry.attempts:
-                    attempt.sent_at += told.set_by
-        if told.rolled_back:
-            logger.bind(event="recovery.rolled_back", age_ms=told.passed).warning(
-                "the folder was last written {:.0f} s ago and may be a copy from then: of {} open messages any may "
-                "have been tried since",
-                told.passed / 1e3,
+                    attempt.sent_at += validated.set_by
+        if validated.rolled_back:
+            logger.bind(event="recovery.rolled_back", age_ms=validated.passed).warning(
+                "the folder was last written {:.0f} s ago and may be a copy from then: any of its {} open messages may "
+                "have been attempted since",
+                validated.passed / 1e3,
                 len(entries),
             )
             for entry in entries:
                 if not entry.doubtful:
-                    entry.doubtful, entry.complete_until = True, found.written.wall + told.set_by
+                    entry.doubtful, entry.complete_until = True, found.written.wall + validated.set_by
 
     def restored_state(self, number: Callable[[str], int | None], wall: float) -> RestoredState | None:
-        """What the decisions are told; `number` of an endpoint by its name, None where the list does not name it."""
-        if (told := self.validated) is None:
+        """The cached state in the form of the decision engine. `number`: the number of an endpoint by its name, None if
+        the endpoint list does not have it."""
+        if (validated := self.validated) is None:
             return None
         routes = []
-        for route in told.routes:
+        for route in validated.routes:
             endpoint = number(route.endpoint) if route.endpoint else None
             if route.endpoint and endpoint is None:
                 continue
@@ -94,18 +99,18 @@
                 RestoredRoute(
                     route.dest,
                     endpoint,
-                    (route.limit, route.times, route.came),
+                    (route.limit, route.arrival_share, route.arrivals_per_s),
                     route.failing,
                     to_micros(route.cold_since) if route.cold_since else -1,
                     to_micros(route.wait_until),
                 )
             )
-        on_time = tuple(told.on_time.get(name, (0, 0)) for name in self._classes)
+        on_time = tuple(validated.on_time.get(name, (0, 0)) for name in self._classes)
         return RestoredState(tuple(routes), on_time)
 
     def due(self, wall: float) -> bool:
-        """Whether the last write is a second old: asked before what is known is gathered."""
-        return wall - self._saved_at >= _EVERY_MS
+        """Whether the save interval has passed; checked before the state is gathered."""
+        return wall - self._saved_at >= _SAVE_INTERVAL_MS
 
     def save(
         self,
@@ -116,22 +121,23 @@
         revision: int | None,
         members: Callable[[], Sequence[dict[str, Any]]],
     ) -> None:
-        """Store what is known now; `members` in discovery's form. Routes of which nothing is known are left out."""
+        """Store the present state. `members`: in the form that discovery returns. Routes without any known state are
+        left out."""
         self._saved_at = wall
         routes = tuple(
             cached_state.KnownRoute(
-                was.dest,
-                name(was.endpoint) if was.endpoint is not None else "",
-                *was.share,
-                was.failing,
-                max(0.0, to_ms(was.cold_at)),
-                to_ms(was.wait_until),
+                route.dest,
+                name(route.endpoint) if route.endpoint is not None else "",
+                *route.share,
+                route.failing,
+                max(0.0, to_ms(route.cold_at)),
+                to_ms(route.wait_until),
             )
-            for was in known.routes
-            if was.share != _NO_SHARE or was.failing or was.cold_at > 0 or was.wait_until
+            for route in known.routes
+            if route.share != _NO_SHARE or route.failing or route.cold_at > 0 or route.wait_until
         )
         on_time = dict(zip(self._classes, known.on_time, strict=True))
-        told = cached_state.CachedState(
+        state = cached_state.CachedState(
             clocks.now(wall),
             self._incarnation,
             discovery,
@@ -141,9 +147,9 @@
             on_time,
         )
         try:
-            self._files.write(cached_state.encode(told))
-            self._failed = False
-        except OSError as err:  # the journal goes on; the next life starts with less
-            if not self._failed:
-                logger.warning("what is known could not be stored: {}", err)
-            self._failed = True
+            self._files.write(cached_state.encode(state))
+            self._save_failed = False
+        except OSError as err:  # the journal still works; the next incarnation starts with less
+            if not self._save_failed:
+                logger.warning("the cached state could not be stored: {}", err)
+            self._save_failed = True
--- a/calicohitch/recovery/state_files.py
+++ b/calicohitch/recovery/state_files.py
@@ -1,7 +1,8 @@
-"""The files of what a relay believes: two, written in turn and in place, so that a kill damages the older one at most.
+"""The files of the cached state: two, written alternately and in place, so that a kill damages only the older one.
 
-Nothing is renamed or truncated: ext4, among others, starts to write a file out when another is renamed over it or it
-is cut to nothing (`auto_da_alloc`), and with a busy disk that held the relay's one thread for up to 1.2 s.
+No file is renamed or truncated: some file systems, ext4 with `auto_da_alloc` among them, begin to write a file out when
+another one is renamed over it or when it is truncated to nothing. With a busy disk that blocked the relay's only thread
+for up to 1.2 s.
 """
 
 from __future__ import annotations
@@ -11,25 +12,25 @@
 from pathlib import Path
 
 from ..core.files import write_all
-from .cached_state import MOST_BYTES, CachedState, InvalidCachedState, decode
+from .cached_state import MAX_STATE_BYTES, CachedState, InvalidCachedState, decode
 
-_NAMES = ("beliefs-0", "beliefs-1")
-_HEAD = 26  # bytes: the number of the write and the length of what follows, in hexadecimal
+_FILE_NAMES = ("beliefs-0", "beliefs-1")
+_HEADER_BYTES = 26  # the number of the write and the length of what follows, in hexadecimal
 
 
 class StateFiles:
     def __init__(self, folder: Path) -> None:
-        self._paths = [folder / name for name in _NAMES]
-        self._number = 0  # of the last write
+        self._paths = [folder / name for name in _FILE_NAMES]
+        self._last_number = 0  # of the last successful write
 
     def read(self) -> CachedState | None:
-        """What the earlier life stored last; None where it stored nothing, InvalidCachedState where none is whole."""
+        """The state that was stored last; None if there is none, InvalidCachedState if no file is valid."""
         found: list[tuple[int, CachedState]] = []
         problem: InvalidCachedState | None = None
         for path in self._paths:
             try:
                 with path.open("rb") as file:
-                    number, length = _parsed(file.read(_HEAD))
+                    number, length = _parse_header(file.read(_HEADER_BYTES))
                     found.append((number, decode(file.read(length))))
             except FileNotFoundError:
                 continue
@@ -38,30 +39,31 @@
             except InvalidCachedState as err:
                 problem = err
         if found:
-            self._number, newest = max(found, key=lambda one: one[0])
+            self._last_number, newest = max(found, key=lambda numbered: numbered[0])
             return newest
         if problem:
             raise problem
         return None
 
     def write(self, data: bytes) -> None:
-        """Store it beside what was stored before; OSError where that cannot be done. Guards what was stored last: a
-        write that failed may have spoilt its file, so the next one goes to the same."""
-        number = self._number + 1
+        """Store the encoded state in the file that does not hold the last one; OSError if that fails. A failed write
+        may have damaged its file, so the next write goes to the same file and the last stored state is kept."""
+        number = self._last_number + 1
         fd = os.open(self._paths[number % 2], os.O_WRONLY | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             write_all(fd, b"%016x %08x " % (number, len(data)) + data)
         finally:
-            with suppress(OSError):  # Linux gives the descriptor back all the same, and what was written is written
+            with suppress(OSError):  # Linux closes the descriptor even if it reports an error, and the data is written
                 os.close(fd)
-        self._number = number
+        self._last_number = number
 
 
-def _parsed(head: bytes) -> tuple[int, int]:
+def _parse_header(header: bytes) -> tuple[int, int]:
+    """The number of the write and the length in bytes of the data."""
     try:
-        number, length = (int(part, 16) for part in head.split())
+        number, length = (int(part, 16) for part in header.split())
     except ValueError as err:
-        raise InvalidCachedState("its head cannot be read") from err
-    if not 0 <= length <= 2 * MOST_BYTES or number < 0:
-        raise InvalidCachedState("its head is out of bounds")
+        raise InvalidCachedState("the file header cannot be read") from err
+    if not 0 <= length <= 2 * MAX_STATE_BYTES or number < 0:
+        raise InvalidCachedState("the file header is out of bounds")
     return number, length
--- a/tests/faults/test_folder.py
+++ b/tests/faults/test_folder.py
@@ -143,7 +143,7 @@
         owner.check()
         third = self.monitor()
         self.assertIsNone(third.try_acquire())
-        self.assertIn(f"life {owner.incarnation} ", third.why)
+        self.assertIn(f"life {owner.incarnation} ", third.wait_reason)
 
     def test_whoever_was_replaced_meanwhile_sends_nothing(self) -> None:
         owner, other = self.monitor().try_acquire(), self.monitor()
--- a/tests/recovery/test_cached_state.py
+++ b/tests/recovery/test_cached_state.py
@@ -78,17 +78,17 @@
         self.assertEqual(fresh.routes[0], KnownRoute(7, "", 80.0, 0.5, 2.0, True, 999_000.0, 0.0))
         self.assertEqual(fresh.on_time, {"orders": (90, 100)})
         self.assertFalse(fresh.rolled_back)
-        later = self.told(cached_state.HEALTH_MS + 1)
+        later = self.told(cached_state.MAX_HEALTH_AGE_MS + 1)
         self.assertEqual(later.routes[0], KnownRoute(7, "", 80.0, 0.5, 2.0))
         self.assertEqual([part for part, _, _ in later.left_out], ["health"])
-        old = self.told(cached_state.SHARE_MS + 1)
+        old = self.told(cached_state.MAX_ON_TIME_AGE_MS + 1)
         self.assertEqual((old.routes, old.on_time, old.rolled_back), ((), {}, True))
         self.assertEqual([part for part, _, _ in old.left_out], ["limits", "health", "on-time shares"])
-        self.assertEqual(self.told(cached_state.LIST_MS + 1).members, ())
+        self.assertEqual(self.told(cached_state.MAX_LIST_AGE_MS + 1).members, ())
 
     def test_a_stored_list_never_outweighs_a_newer_or_another_one(self) -> None:
-        self.assertEqual(self.told(5.0, revision=41).left_out[0][2], "the configuration's is as new")
-        self.assertEqual(self.told(5.0, discovery="127.0.0.1:1").left_out[0][2], "it is of another discovery")
+        self.assertEqual(self.told(5.0, revision=41).left_out[0][2], "the configured list is as new")
+        self.assertEqual(self.told(5.0, discovery="127.0.0.1:1").left_out[0][2], "it is from another discovery service")
 
     def test_a_told_wait_ends_by_restart_unless_it_outlasts_one(self) -> None:
         self.assertEqual(self.told(1_000.0).routes[0].wait_until, 0.0)
--- a/tests/recovery/test_corpus.py
+++ b/tests/recovery/test_corpus.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from calicohitch.journal import Entry, Journal
-from calicohitch.recovery.cached_state import MOST_BYTES, InvalidCachedState, decode
+from calicohitch.recovery.cached_state import MAX_STATE_BYTES, InvalidCachedState, decode
 from calicohitch.recovery.state_files import StateFiles
 
 CORPUS = Path(__file__).parent / "corpus"
@@ -105,7 +105,7 @@
         for _ in range(300):
             with self.assertRaises(InvalidCachedState):
                 decode(draw.randbytes(draw.randrange(200)))
-        (self.folder / "beliefs-0").write_bytes(b"%016x %08x " % (9, 3 * MOST_BYTES) + b"x")
+        (self.folder / "beliefs-0").write_bytes(b"%016x %08x " % (9, 3 * MAX_STATE_BYTES) + b"x")
         with self.assertRaises(InvalidCachedState):
             StateFiles(self.folder).read()
 
--- a/tests/recovery/test_folder_lease.py
+++ b/tests/recovery/test_folder_lease.py
@@ -63,7 +63,7 @@
             self.mono.now += 0.5
             owner.renew()
             self.assertIsNone(other.try_acquire())
-        self.assertIn(f"life {owner.incarnation} (process {os.getpid()}) has it and is alive", other.why)
+        self.assertIn(f"life {owner.incarnation} (process {os.getpid()}) has it and is alive", other.wait_reason)
         owner.check()
 
     def test_a_dead_owner_is_followed_at_once(self) -> None:
--- a/tests/recovery/test_recovery_phases.py
+++ b/tests/recovery/test_recovery_phases.py
@@ -9,7 +9,7 @@
 import unittest
 from pathlib import Path
 
-from calicohitch.recovery.recovery_phases import LONGEST_MS, RecoveryCounter, Recovery
+from calicohitch.recovery.recovery_phases import MAX_RECOVERY_MS, RecoveryCounter, Recovery
 from calicohitch.recovery.reading import fleet, read
 
 TEXT = [
@@ -77,9 +77,9 @@
         back = Recovery(0.0)
         back.folder(10.0, {5: 7}, 0)
         back.new_phases(11.0)
-        (last,) = back.new_phases(LONGEST_MS + 1)
+        (last,) = back.new_phases(MAX_RECOVERY_MS + 1)
         self.assertEqual((last.phase.value, last.facts), ("unended", {"restored": 1, "untold": 1}))
-        self.assertEqual(back.new_phases(LONGEST_MS * 2), [])
+        self.assertEqual(back.new_phases(MAX_RECOVERY_MS * 2), [])
 
 
 class Reading(unittest.TestCase):
