--- a/tests/recovery/test_cached_state.py
+++ b/tests/recovery/test_cached_state.py
@@ -1,4 +1,4 @@
-"""What is stored of the world, and when it is believed."""
+"""The cached state: its ages, its encoding, its files, and its use by the next incarnation."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def known(**changes: Any) -> CachedState:
-    told = CachedState(
+    state = CachedState(
         WRITTEN,
         7,
         "127.0.0.1:8500",
@@ -36,33 +36,33 @@
         (KnownRoute(7, "", 80.0, 0.5, 2.0, True, 999_000.0, 1_003_000.0), KnownRoute(8, "s-9", 20.0)),
         {"orders": (90, 100)},
     )
-    return dataclasses.replace(told, **changes)
+    return dataclasses.replace(state, **changes)
 
 
-def at(passed: float, set_by: float = 0.0, boot: str = "boot-1") -> Moment:
+def moment_after(passed: float, set_by: float = 0.0, boot: str = "boot-1") -> Moment:
     return Moment(WRITTEN.wall + passed + set_by, WRITTEN.mono + passed if boot == "boot-1" else 10.0, boot)
 
 
 class Clocks(unittest.TestCase):
-    def test_what_passed_and_how_far_the_clock_was_set(self) -> None:
+    def test_time_passed_and_clock_change(self) -> None:
         cases = {
-            "nothing odd": (at(600.0), Between(600.0)),
-            "90 s back": (at(600.0, -90_000.0), Between(600.0, -90_000.0)),
-            "90 s forward": (at(600.0, 90_000.0), Between(600.0, 90_000.0)),
-            "another boot": (at(30_000.0, boot="boot-2"), Between(30_000.0)),
-            "another boot, 90 s back": (at(5_000.0, -95_000.0, "boot-2"), Between(0.0, -90_000.0)),
+            "same boot, clock not set": (moment_after(600.0), Between(600.0)),
+            "90 s back": (moment_after(600.0, -90_000.0), Between(600.0, -90_000.0)),
+            "90 s forward": (moment_after(600.0, 90_000.0), Between(600.0, 90_000.0)),
+            "another boot": (moment_after(30_000.0, boot="boot-2"), Between(30_000.0)),
+            "another boot, 90 s back": (moment_after(5_000.0, -95_000.0, "boot-2"), Between(0.0, -90_000.0)),
             "a boot that is not known": (Moment(WRITTEN.wall + 5.0), Between(5.0)),
             "the monotonic clock began anew": (Moment(WRITTEN.wall + 5.0, 1.0, "boot-1"), Between(5.0)),
         }
         for name, (now, expected) in cases.items():
             with self.subTest(name):
                 self.assertEqual(between(WRITTEN, now), expected)
-        self.assertEqual(between(Moment(float("nan")), at(0.0)), Between(0.0))
+        self.assertEqual(between(Moment(float("nan")), moment_after(0.0)), Between(0.0))
         self.assertGreater(clocks.now(5.0).mono, 0.0)
 
 
-class Ages(unittest.TestCase):
-    def told(
+class Validity(unittest.TestCase):
+    def validated(
         self,
         passed: float,
         set_by: float = 0.0,
@@ -70,66 +70,68 @@
         revision: int = 40,
         outlast: bool = False,
     ) -> cached_state.ValidatedState:
-        return validate(known(), at(passed, set_by), discovery, revision, ("orders", "scores"), outlast)
+        return validate(known(), moment_after(passed, set_by), discovery, revision, ("orders", "scores"), outlast)
 
-    def test_each_part_has_an_age_beyond_which_it_is_not_believed(self) -> None:
-        fresh = self.told(1_000.0)
+    def test_each_part_has_a_maximum_age(self) -> None:
+        fresh = self.validated(1_000.0)
         self.assertEqual((fresh.revision, fresh.members, fresh.left_out), (41, (MEMBER,), ()))
         self.assertEqual(fresh.routes[0], KnownRoute(7, "", 80.0, 0.5, 2.0, True, 999_000.0, 0.0))
         self.assertEqual(fresh.on_time, {"orders": (90, 100)})
         self.assertFalse(fresh.rolled_back)
-        later = self.told(cached_state.MAX_HEALTH_AGE_MS + 1)
+        later = self.validated(cached_state.MAX_HEALTH_AGE_MS + 1)
         self.assertEqual(later.routes[0], KnownRoute(7, "", 80.0, 0.5, 2.0))
         self.assertEqual([part for part, _, _ in later.left_out], ["health"])
-        old = self.told(cached_state.MAX_ON_TIME_AGE_MS + 1)
+        old = self.validated(cached_state.MAX_ON_TIME_AGE_MS + 1)
         self.assertEqual((old.routes, old.on_time, old.rolled_back), ((), {}, True))
         self.assertEqual([part for part, _, _ in old.left_out], ["limits", "health", "on-time shares"])
-        self.assertEqual(self.told(cached_state.MAX_LIST_AGE_MS + 1).members, ())
+        self.assertEqual(self.validated(cached_state.MAX_LIST_AGE_MS + 1).members, ())
 
-    def test_a_stored_list_never_outweighs_a_newer_or_another_one(self) -> None:
-        self.assertEqual(self.told(5.0, revision=41).left_out[0][2], "the configured list is as new")
-        self.assertEqual(self.told(5.0, discovery="127.0.0.1:1").left_out[0][2], "it is from another discovery service")
+    def test_a_cached_list_does_not_replace_a_list_as_new_or_one_from_another_discovery(self) -> None:
+        self.assertEqual(self.validated(5.0, revision=41).left_out[0][2], "the configured list is as new")
+        self.assertEqual(
+            self.validated(5.0, discovery="127.0.0.1:1").left_out[0][2], "it is from another discovery service"
+        )
 
-    def test_a_told_wait_ends_by_restart_unless_it_outlasts_one(self) -> None:
-        self.assertEqual(self.told(1_000.0).routes[0].wait_until, 0.0)
-        self.assertEqual(self.told(1_000.0, outlast=True).routes[0].wait_until, 1_003_000.0)
-        self.assertEqual(self.told(1_000.0, -90_000.0, outlast=True).routes[0].wait_until, 913_000.0)
-        self.assertEqual(self.told(4_000.0, outlast=True).routes[0].wait_until, 0.0)
+    def test_a_retry_after_ends_with_a_restart_unless_it_outlasts_one(self) -> None:
+        self.assertEqual(self.validated(1_000.0).routes[0].wait_until, 0.0)
+        self.assertEqual(self.validated(1_000.0, outlast=True).routes[0].wait_until, 1_003_000.0)
+        self.assertEqual(self.validated(1_000.0, -90_000.0, outlast=True).routes[0].wait_until, 913_000.0)
+        self.assertEqual(self.validated(4_000.0, outlast=True).routes[0].wait_until, 0.0)
 
 
-class Form(unittest.TestCase):
-    def test_what_is_written_is_read(self) -> None:
+class Encoding(unittest.TestCase):
+    def test_encoded_state_is_decoded_unchanged(self) -> None:
         self.assertEqual(decode(encode(known())), known())
 
-    def test_a_list_too_long_is_left_out(self) -> None:
-        told = decode(encode(known(members=(MEMBER,) * 2_000)))
-        self.assertEqual((told.members, told.revision, len(told.routes)), ((), -1, 2))
+    def test_a_list_that_is_too_long_is_left_out(self) -> None:
+        state = decode(encode(known(members=(MEMBER,) * 2_000)))
+        self.assertEqual((state.members, state.revision, len(state.routes)), ((), -1, 2))
 
-    def test_values_that_cannot_be_are_left_out_alone(self) -> None:
+    def test_impossible_values_are_left_out_and_the_rest_is_used(self) -> None:
         for limit in (-3.0, float("inf"), float("nan"), 1e30):
-            told = decode(encode(known(routes=(KnownRoute(7, "", limit), KnownRoute(8, "", 5.0)))))
-            self.assertEqual([route.dest for route in told.routes], [8])
-        told = decode(encode(known(on_time={"orders": (9, 3), "scores": (1, 2)})))
-        self.assertEqual(told.on_time, {"scores": (1, 2)})
+            state = decode(encode(known(routes=(KnownRoute(7, "", limit), KnownRoute(8, "", 5.0)))))
+            self.assertEqual([route.dest for route in state.routes], [8])
+        state = decode(encode(known(on_time={"orders": (9, 3), "scores": (1, 2)})))
+        self.assertEqual(state.on_time, {"scores": (1, 2)})
 
     @settings(max_examples=200, deadline=None)
     @given(
         st.one_of(
             st.binary(max_size=200),
             st.builds(
-                lambda at, new: encode(known())[:at] + new + encode(known())[at + len(new) :],
+                lambda offset, new: encode(known())[:offset] + new + encode(known())[offset + len(new) :],
                 st.integers(0, 300),
                 st.binary(max_size=20),
             ),
         )
     )
-    def test_any_bytes_are_believed_whole_or_not_at_all(self, data: bytes) -> None:
+    def test_any_bytes_are_decoded_unchanged_or_rejected(self, data: bytes) -> None:
         try:
             self.assertEqual(decode(data), known())
         except InvalidCachedState:
             pass
 
-    def test_a_newer_format_is_not_believed(self) -> None:
+    def test_a_newer_format_is_rejected(self) -> None:
         import json
         import zlib
 
@@ -139,24 +141,24 @@
             decode(b"%08x " % zlib.crc32(newer) + newer)
 
 
-class Kept(unittest.TestCase):
+class Storage(unittest.TestCase):
     def setUp(self) -> None:
         made = tempfile.TemporaryDirectory()
         self.addCleanup(made.cleanup)
         self.folder = Path(made.name)
 
-    def test_a_kill_after_each_file_operation_of_a_rewrite_leaves_the_old_or_the_new(self) -> None:
+    def test_a_kill_after_any_file_operation_of_a_write_leaves_the_old_or_the_new_state(self) -> None:
         class Killed(BaseException):
             pass
 
-        keeper = StateFiles(self.folder)
+        state_files = StateFiles(self.folder)
         old, new = encode(known()), encode(known(incarnation=8))
         real = {name: getattr(os, name) for name in ("open", "write", "close")}
-        for last in range(5):
-            keeper.write(old)
+        for allowed in range(5):
+            state_files.write(old)
             done = 0
 
-            def counted(name: str, most: int = last):  # type: ignore[no-untyped-def]
+            def counted(name: str, most: int = allowed):  # type: ignore[no-untyped-def]
                 def call(*args, **kwargs):  # type: ignore[no-untyped-def]
                     nonlocal done
                     done += 1
@@ -168,16 +170,16 @@
 
             with mock.patch.multiple(os, **{name: counted(name) for name in real}):
                 try:
-                    keeper.write(new)
+                    state_files.write(new)
                 except Killed:
                     pass
             read = StateFiles(self.folder).read()
             assert read
-            self.assertEqual(read.incarnation, 8 if last >= 2 else 7)  # once it is written, closing it is no matter
+            self.assertEqual(read.incarnation, 8 if allowed >= 2 else 7)  # a close that fails loses nothing
 
-    def test_a_disk_that_fills_keeps_what_was_there(self) -> None:
-        keeper = StateFiles(self.folder)
-        keeper.write(encode(known()))
+    def test_a_disk_that_fills_up_keeps_the_stored_state(self) -> None:
+        state_files = StateFiles(self.folder)
+        state_files.write(encode(known()))
         real, calls = os.write, iter((60, 0))
 
         def fills(fd: int, data: bytes) -> int:
@@ -186,34 +188,36 @@
             raise OSError(errno.ENOSPC, "full")
 
         with mock.patch("os.write", fills), self.assertRaises(OSError):
-            keeper.write(encode(known(incarnation=9)))
+            state_files.write(encode(known(incarnation=9)))
         with mock.patch("os.open", side_effect=OSError(errno.ENOSPC, "full")), self.assertRaises(OSError):
-            keeper.write(encode(known(incarnation=9)))
-        read = keeper.read()
+            state_files.write(encode(known(incarnation=9)))
+        read = state_files.read()
         assert read
         self.assertEqual(read.incarnation, 7)
 
-    def test_nothing_is_renamed_or_cut(self) -> None:
-        """With a busy disk a rename over the old file held the relay for up to 1.2 s (ext4)."""
-        keeper = StateFiles(self.folder)
-        flags: list[int] = []
+    def test_no_file_is_renamed_or_truncated(self) -> None:
+        """With a busy disk, a rename over the old file blocked the relay for up to 1.2 s (ext4)."""
+        state_files = StateFiles(self.folder)
+        opened_with: list[int] = []
         real = os.open
-        counted = mock.patch("os.open", lambda path, how, mode=0: flags.append(how) or real(path, how, mode))
+        counted = mock.patch(
+            "os.open", lambda path, flags, mode=0: opened_with.append(flags) or real(path, flags, mode)
+        )
         with mock.patch("os.replace", side_effect=AssertionError), counted:
             for incarnation in range(5):
-                keeper.write(encode(known(incarnation=incarnation)))
-            keeper.write(encode(known(incarnation=5, members=())))  # shorter than what it is written over
-        self.assertFalse(any(how & os.O_TRUNC for how in flags))
+                state_files.write(encode(known(incarnation=incarnation)))
+            state_files.write(encode(known(incarnation=5, members=())))  # shorter than the state that it overwrites
+        self.assertFalse(any(flags & os.O_TRUNC for flags in opened_with))
         read = StateFiles(self.folder).read()
         assert read
         self.assertEqual((read.incarnation, read.members), (5, ()))
         (newest,) = [path for path in self.folder.iterdir() if b'"life":5' in path.read_bytes()]
-        newest.write_bytes(newest.read_bytes()[:40])  # torn: the one before holds
+        newest.write_bytes(newest.read_bytes()[:40])  # torn: the older file is used
         older = StateFiles(self.folder).read()
         assert older
         self.assertEqual(older.incarnation, 4)
 
-    def test_from_one_life_to_the_next(self) -> None:
+    def test_state_is_restored_by_the_next_incarnation(self) -> None:
         wall, mono = 1_000_000.0, mock.patch.object(clocks.time, "monotonic", side_effect=(50.0, 50.5))
         mono.start()
         self.addCleanup(mono.stop)
@@ -228,18 +232,17 @@
         )
         second = StateCache(self.folder, 4, ("orders",))
         second.read(wall + 500.0, "127.0.0.1:8500", 40)
-        told = second.restored_state({"s-4": 12}.get, wall + 500.0)
+        restored = second.restored_state({"s-4": 12}.get, wall + 500.0)
         self.assertEqual(
-            told, RestoredState((RestoredRoute(7, 12, (80.0, 0.5, 2.0), True, 999_000_000, 0),), ((9, 10),))
+            restored, RestoredState((RestoredRoute(7, 12, (80.0, 0.5, 2.0), True, 999_000_000, 0),), ((9, 10),))
         )
-        self.assertEqual(
-            second.restored_state({}.get, wall + 500.0), RestoredState((), ((9, 10),))
-        )  # the list does not name it
+        # the endpoint list does not have s-4
+        self.assertEqual(second.restored_state({}.get, wall + 500.0), RestoredState((), ((9, 10),)))
 
-    def test_times_are_moved_with_the_clock_and_a_copy_of_long_ago_is_doubted(self) -> None:
+    def test_times_follow_the_wall_clock_and_messages_of_an_old_copy_are_doubtful(self) -> None:
         wall = 1_000_000.0
-        memory = StateCache(self.folder, 3, ("orders",))
-        memory.save(wall, RestoredState((), ((0, 0),)), str, "127.0.0.1:8500", 41, list)
+        state_cache = StateCache(self.folder, 3, ("orders",))
+        state_cache.save(wall, RestoredState((), ((0, 0),)), str, "127.0.0.1:8500", 41, list)
         later = clocks.now(0.0)
         for set_by, passed, doubtful in ((-90_000.0, 600.0, False), (90_000.0, 600.0, False), (0.0, 125_000.0, True)):
             with self.subTest(set_by=set_by, passed=passed):
@@ -253,17 +256,17 @@
                 self.assertAlmostEqual(entry.attempts[0].sent_at, wall - 50.0 + set_by, delta=1_000.0)
                 self.assertEqual(entry.doubtful, doubtful)
 
-    def test_what_cannot_be_read_costs_no_start(self) -> None:
+    def test_unreadable_state_does_not_prevent_a_start(self) -> None:
         for name in ("beliefs-0", "beliefs-1"):
             (self.folder / name).write_bytes(b"\xff" * 50)
-        memory = StateCache(self.folder, 3, ("orders",))
-        memory.read(1.0, "127.0.0.1:8500", -1)
-        self.assertIsNone(memory.restored_state({}.get, 1.0))
+        state_cache = StateCache(self.folder, 3, ("orders",))
+        state_cache.read(1.0, "127.0.0.1:8500", -1)
+        self.assertIsNone(state_cache.restored_state({}.get, 1.0))
         for name in ("beliefs-0", "beliefs-1"):
             (self.folder / name).unlink()
             (self.folder / name).mkdir()
-        memory.read(1.0, "127.0.0.1:8500", -1)
-        memory.save(5_000.0, RestoredState((), ((0, 0),)), str, "127.0.0.1:8500", 1, list)  # logged, and that is all
+        state_cache.read(1.0, "127.0.0.1:8500", -1)
+        state_cache.save(5_000.0, RestoredState((), ((0, 0),)), str, "127.0.0.1:8500", 1, list)  # only logged
 
 
 if __name__ == "__main__":
--- a/tests/recovery/test_corpus.py
+++ b/tests/recovery/test_corpus.py
@@ -1,7 +1,8 @@
-"""Segments kept as files: what each tells, and what is left of it after seeded damage.
+"""Journal segments stored as files: what is read of each, and of each after seeded damage.
 
-`corpus/told.json` has for each file who is open, with attempts, ends and doubts. The messages of `usual.log`, of which
-most others are damaged copies, are 1 to 12; every third is delivered, 5 has its end, 4 and 8 a second attempt.
+`corpus/told.json` has for each file the open messages with their attempts, and which of them are ended, doubtful or
+without a body. The messages of `usual.log`, of which most other files are damaged copies, are 1 to 12; every third is
+delivered, 5 has its end recorded, 4 and 8 have a second attempt.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 CORPUS = Path(__file__).parent / "corpus"
 FILES = sorted(CORPUS.glob("*.log"))
-TOLD = json.loads((CORPUS / "told.json").read_text())
+EXPECTED = json.loads((CORPUS / "told.json").read_text())
 
 
 class Corpus(unittest.TestCase):
@@ -27,79 +28,81 @@
         self.addCleanup(made.cleanup)
         self.folder = Path(made.name)
 
-    def opened(self, data: bytes, incarnation: int = 0) -> Journal:
+    def open_journal(self, data: bytes, incarnation: int = 0) -> Journal:
         for path in self.folder.iterdir():
             path.unlink()
         (self.folder / "journal-00000001.log").write_bytes(data)
         return Journal(self.folder, 3e6, incarnation)
 
-    def test_each_file_tells_what_it_told(self) -> None:
-        self.assertEqual({path.name for path in FILES}, TOLD.keys())
+    def test_each_file_is_read_as_expected(self) -> None:
+        self.assertEqual({path.name for path in FILES}, EXPECTED.keys())
         for path in FILES:
             with self.subTest(path.name):
-                known, told = self.opened(path.read_bytes()), TOLD[path.name]
-                entries = known.entries
-                self.assertEqual(sorted(entries), told["open"])
-                self.assertEqual({str(n): len(one.attempts) for n, one in entries.items()}, told["attempts"])
-                for name, chosen in (
-                    ("ends", lambda one: one.end),
-                    ("doubtful", lambda one: one.doubtful),
-                    ("bodiless", lambda one: one.bodiless),
+                journal, expected = self.open_journal(path.read_bytes()), EXPECTED[path.name]
+                entries = journal.entries
+                self.assertEqual(sorted(entries), expected["open"])
+                self.assertEqual({str(n): len(item.attempts) for n, item in entries.items()}, expected["attempts"])
+                for name, selected in (
+                    ("ends", lambda item: item.end),
+                    ("doubtful", lambda item: item.doubtful),
+                    ("bodiless", lambda item: item.bodiless),
                 ):
-                    self.assertEqual(sorted(n for n, one in entries.items() if chosen(one)), told[name], name)
+                    self.assertEqual(sorted(n for n, item in entries.items() if selected(item)), expected[name], name)
                 self.assertEqual(
-                    (len(known.damage), sum(one.repaired for one in known.damage), known.orphans),
-                    (told["stretches"], told["mended"], told["orphans"]),
+                    (len(journal.damage), sum(item.repaired for item in journal.damage), journal.orphans),
+                    (expected["stretches"], expected["mended"], expected["orphans"]),
                 )
-                known.close()
+                journal.close()
 
-    def test_after_any_damage_a_journal_opens_serves_and_gives_no_number_again(self) -> None:
+    def test_after_any_damage_a_journal_opens_accepts_messages_and_reuses_no_number(self) -> None:
         draw = random.Random(17)
         for path in FILES:
             whole = path.read_bytes()
             for n in range(40):
                 data = bytearray(whole)
                 for _ in range(draw.randrange(1, 4)):
-                    at, length = draw.randrange(len(data) + 1), draw.choice((1, 4, 30, 200))
-                    what = draw.choice(("bits", "zeros", "cut", "insert", "swap"))
-                    if what == "bits":
-                        for place in range(at, min(len(data), at + length)):
-                            data[place] ^= draw.randrange(1, 256)
-                    elif what == "zeros":
-                        data[at : at + length] = bytes(len(data[at : at + length]))
-                    elif what == "cut":
-                        del data[at : at + length]
-                    elif what == "insert":
-                        data[at:at] = draw.randbytes(length)
+                    start, length = draw.randrange(len(data) + 1), draw.choice((1, 4, 30, 200))
+                    damage = draw.choice(("bits", "zeros", "cut", "insert", "swap"))
+                    if damage == "bits":
+                        for offset in range(start, min(len(data), start + length)):
+                            data[offset] ^= draw.randrange(1, 256)
+                    elif damage == "zeros":
+                        data[start : start + length] = bytes(len(data[start : start + length]))
+                    elif damage == "cut":
+                        del data[start : start + length]
+                    elif damage == "insert":
+                        data[start:start] = draw.randbytes(length)
                     else:
-                        data[at : at + 2 * length] = data[at + length : at + 2 * length] + data[at : at + length]
+                        data[start : start + 2 * length] = (
+                            data[start + length : start + 2 * length] + data[start : start + length]
+                        )
                 with self.subTest(path.name, n=n):
-                    known = self.opened(bytes(data), incarnation=3)
-                    number = known.next_number
+                    journal = self.open_journal(bytes(data), incarnation=3)
+                    number = journal.next_number
                     self.assertGreaterEqual(number, 3 << 32)
-                    self.assertTrue(all(one.deadline == one.deadline for one in known.entries.values()))
-                    found = set(known.entries)
-                    known.record_accepted(Entry(number, "new", "orders", 7, 5e12, None, b"body"))
-                    known.close()
-                    again = Journal(self.folder, 3e6, 4)  # what it read it reads again
-                    self.assertEqual(set(again.entries), found | {number})
-                    again.close()
+                    self.assertTrue(all(entry.deadline == entry.deadline for entry in journal.entries.values()))
+                    found = set(journal.entries)
+                    journal.record_accepted(Entry(number, "new", "orders", 7, 5e12, None, b"body"))
+                    journal.close()
+                    reopened = Journal(self.folder, 3e6, 4)  # reads the same messages again
+                    self.assertEqual(set(reopened.entries), found | {number})
+                    reopened.close()
 
-    def test_records_in_a_body_are_no_records_though_the_end_is_torn(self) -> None:
+    def test_record_bytes_in_a_body_are_not_read_as_records_before_a_torn_end(self) -> None:
         data = bytearray((CORPUS / "records-in-a-body.log").read_bytes())
         second = data.rindex(b"\x02\x00\x00\x00\x00\x00\x00\x00\x01") - 8  # where the attempt at message 1 begins
         data[second - 3] ^= 1
         data[second - 2] ^= 1
         for end in range(second + 8, len(data)):
             with self.subTest(end=end):
-                known = self.opened(bytes(data[:end]))
-                self.assertEqual({n: one.bodiless for n, one in known.entries.items()}, {1: True})
-                known.close()
+                journal = self.open_journal(bytes(data[:end]))
+                self.assertEqual({n: entry.bodiless for n, entry in journal.entries.items()}, {1: True})
+                journal.close()
 
-    def test_any_damage_to_what_is_believed_is_seen_or_leaves_it_believable(self) -> None:
+    def test_damage_to_the_cached_state_is_detected(self) -> None:
         draw = random.Random(18)
-        keeper = StateFiles(self.folder)
-        keeper.write(b"not beliefs")
+        state_files = StateFiles(self.folder)
+        state_files.write(b"not beliefs")
         with self.assertRaises(InvalidCachedState):
             StateFiles(self.folder).read()
         for _ in range(300):
