--- a/tests/faults/test_folder.py
+++ b/tests/faults/test_folder.py
@@ -1,4 +1,4 @@
-"""A folder that refuses for a moment, at a start and in a running relay; whoever owns it keeps it, and nobody else."""
+"""A folder whose disk fails for a moment, at a start and in a running relay: its owner, and no other, keeps it."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from calicohitch.recovery.folder_lease import EXPIRED_S, LeaseMonitor, acquire_folder
 from calicohitch.recovery.problems import FolderLost, FolderProblem
 
-AWAY_S = 0.6
+FAILURE_S = 0.6
 
 
 def entry(number: int) -> Entry:
     return Entry(number, f"m{number}", "orders", 7, 5e12 + number, None, b"body")
 
 
-def for_a_while(real: Any, error: int, away_s: float = AWAY_S) -> Any:
-    until = time.monotonic() + away_s
+def failing_for(real: Any, error: int, failure_s: float = FAILURE_S) -> Any:
+    until = time.monotonic() + failure_s
 
     def call(*args: Any, **more: Any) -> Any:
         if time.monotonic() < until:
@@ -40,13 +40,13 @@
     return call
 
 
-class AtAStart(unittest.TestCase):
+class FailuresAtStart(unittest.TestCase):
     def setUp(self) -> None:
-        made = tempfile.TemporaryDirectory()
-        self.addCleanup(made.cleanup)
-        self.folder = Path(made.name) / "state"
+        temporary = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary.cleanup)
+        self.folder = Path(temporary.name) / "state"
 
-    def test_it_waits_for_a_folder_that_refuses_for_a_moment(self) -> None:
+    def test_a_start_retries_while_the_folder_fails_for_a_moment(self) -> None:
         for name, error in (
             ("open", errno.ENOSPC),
             ("pwrite", errno.EIO),
@@ -56,12 +56,12 @@
         ):
             with self.subTest(call=name, error=errno.errorcode[error]):
                 LeaseMonitor(self.folder).try_acquire().close()  # type: ignore[union-attr]
-                with mock.patch.object(os, name, for_a_while(getattr(os, name), error)):
+                with mock.patch.object(os, name, failing_for(getattr(os, name), error)):
                     lease = anyio.run(acquire_folder, self.folder, 5.0)
                 lease.check()
                 lease.close()
 
-    def test_it_says_at_once_what_no_waiting_mends(self) -> None:
+    def test_a_permanent_failure_is_reported_at_once(self) -> None:
         for error in (errno.EROFS, errno.EACCES):
             began = time.monotonic()
             with (
@@ -71,7 +71,7 @@
                 anyio.run(acquire_folder, self.folder, 5.0)
             self.assertLess(time.monotonic() - began, 1.0)
 
-    def test_a_segment_that_cannot_be_read_for_a_moment_is_read(self) -> None:
+    def test_a_segment_that_cannot_be_read_for_a_moment_is_read_later(self) -> None:
         async def test(world: World) -> None:
             journal = Journal(world.folder / "state", 3e6)
             journal.record_accepted(Entry(1, "m1", "orders", 7, world.clock.now() + 20_000, "k", b"body"))
@@ -79,10 +79,10 @@
             program = Program(world)
             code = (
                 "import io, os, runpy, sys\n"
-                "real, left = io.open, [3]\n"
+                "real, failures = io.open, [3]\n"
                 "def failing(path, *rest, **more):\n"
-                "    if 'journal-' in str(path) and left[0]:\n"
-                "        left[0] -= 1\n"
+                "    if 'journal-' in str(path) and failures[0]:\n"
+                "        failures[0] -= 1\n"
                 "        raise OSError(5, 'Input/output error')\n"
                 "    return real(path, *rest, **more)\n"
                 "io.open = failing; sys.argv[1:] = ['serve']\n"
@@ -100,36 +100,36 @@
         play(test)
 
 
-class InARunningRelay(unittest.TestCase):
+class FailuresInARunningRelay(unittest.TestCase):
     def setUp(self) -> None:
-        made = tempfile.TemporaryDirectory()
-        self.addCleanup(made.cleanup)
-        self.folder = Path(made.name) / "state"
+        temporary = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary.cleanup)
+        self.folder = Path(temporary.name) / "state"
         self.mono, self.wall = Time(), Time(1_000.0)
 
     def monitor(self) -> LeaseMonitor:
         return LeaseMonitor(self.folder, self.mono, self.wall)
 
-    def test_a_claim_is_proved_without_the_disk(self) -> None:
+    def test_a_lease_is_proved_without_the_disk(self) -> None:
         owner = self.monitor().try_acquire()
         assert owner
         self.addCleanup(owner.close)
         journal = Journal(self.folder, 3e6, owner.incarnation, owner.check)
         self.addCleanup(journal.close)
-        refuses = mock.Mock(side_effect=OSError(errno.EIO, "Input/output error"))
+        fails = mock.Mock(side_effect=OSError(errno.EIO, "Input/output error"))
         for names in (("pwrite",), ("pwrite", "open"), ("pwrite", "open", "listdir")):
             with self.subTest(names=names):
-                patches = [mock.patch.object(os, name, refuses) for name in names]
+                patches = [mock.patch.object(os, name, fails) for name in names]
                 for patch in patches:
                     patch.start()
                     self.addCleanup(patch.stop)
-                self.mono.now += 2.1  # longer than any term that a claim was ever believed for
+                self.mono.now += 2.1  # longer than any time for which a lease was valid without a renewal
                 owner.renew()
                 self.assertTrue(journal.may_act())
                 owner.check()
 
-    def test_a_life_that_was_begun_in_vain_takes_nothing_away(self) -> None:
-        """The disk lets neither the owner's file go nor the new one: the owner goes on, and is still in the way."""
+    def test_an_incarnation_that_fails_to_begin_does_not_replace_the_owner(self) -> None:
+        """The disk fails to remove the owner's file and the new one: the owner continues, and others still wait."""
         owner, other = self.monitor().try_acquire(), self.monitor()
         assert owner
         self.addCleanup(owner.close)
@@ -145,15 +145,15 @@
         self.assertIsNone(third.try_acquire())
         self.assertIn(f"life {owner.incarnation} ", third.wait_reason)
 
-    def test_whoever_was_replaced_meanwhile_sends_nothing(self) -> None:
+    def test_an_owner_that_was_replaced_during_a_disk_failure_sends_nothing(self) -> None:
         owner, other = self.monitor().try_acquire(), self.monitor()
         assert owner
         self.addCleanup(owner.close)
         journal = Journal(self.folder, 3e6, owner.incarnation, owner.check)
         self.addCleanup(journal.close)
-        refuses = OSError(errno.EIO, "Input/output error")
+        error = OSError(errno.EIO, "Input/output error")
         real = os.pwrite
-        with mock.patch.object(os, "pwrite", lambda fd, *rest: self._unless(fd == owner._fd, refuses, real, fd, *rest)):
+        with mock.patch.object(os, "pwrite", lambda fd, *rest: self._unless(fd == owner._fd, error, real, fd, *rest)):
             self.assertIsNone(other.try_acquire())
             self.mono.now += EXPIRED_S + 0.1
             owner.renew()
@@ -172,15 +172,15 @@
         return real(*args)
 
     @in_world
-    async def test_ends_go_out_in_their_time_on_a_disk_that_refuses(self, world: World) -> None:
-        """The whole program: writes to its folder fail from some moment on, for longer than a claim's term."""
+    async def test_notices_are_sent_in_time_while_the_disk_fails(self, world: World) -> None:
+        """The whole program: writes to its folder fail from some moment on, for several lease renewals."""
         program = Program(world)
-        sign = world.folder / "refuses"
+        failure_sign = world.folder / "disk-fails"
         code = (
             "import os, runpy, sys\n"
             "def failing(real):\n"
             "    def call(fd, *rest):\n"
-            f"        if os.path.exists({str(sign)!r}) and os.path.isfile(f'/proc/self/fd/{{fd}}'):\n"
+            f"        if os.path.exists({str(failure_sign)!r}) and os.path.isfile(f'/proc/self/fd/{{fd}}'):\n"
             "            raise OSError(5, 'Input/output error')\n"
             "        return real(fd, *rest)\n"
             "    return call\n"
@@ -196,13 +196,13 @@
             with anyio.fail_after(5):
                 while not world.endpoint.requests:
                     await anyio.sleep(0.01)
-            sign.touch()
+            failure_sign.touch()
             with anyio.move_on_after(6):
                 while not world.notices:
                     await anyio.sleep(0.01)
-            self.assertTrue(world.notices, "no end came")
+            self.assertTrue(world.notices, "no notice came")
             self.assertLess(time.monotonic() - began, 3.5 + 0.35)
-            sign.unlink()
+            failure_sign.unlink()
             process.kill()
             process.wait(10)
 
--- a/tests/faults/test_stored_state.py
+++ b/tests/faults/test_stored_state.py
@@ -1,4 +1,4 @@
-"""What a relay stores of the world, on a disk that fails in the middle of a write."""
+"""The cached state on a disk that fails in the middle of a write."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
 
 
 class Killed(BaseException):
-    """The process is gone."""
+    """Stands for the end of the process."""
 
 
-class Stored(unittest.TestCase):
-    def test_a_write_that_failed_costs_the_next_one_nothing(self) -> None:
-        """Two files are written in turn. Behind a failure the next write went to the one that was still good, so that a
-        kill in it left none."""
-        with tempfile.TemporaryDirectory() as made:
-            memory = StateCache(Path(made), 1, ("orders",))
+class FailedWrites(unittest.TestCase):
+    def test_a_kill_after_a_failed_write_leaves_a_valid_state(self) -> None:
+        """Two files are written alternately. After a failed write the next one went to the file that was still valid,
+        so that a kill during it left no valid file."""
+        with tempfile.TemporaryDirectory() as name:
+            state_cache = StateCache(Path(name), 1, ("orders",))
 
-            def keep(at: float) -> None:
-                memory.save(at, RestoredState((), ((1, 2),)), str, "d", int(at), list)
+            def save(wall: float) -> None:
+                state_cache.save(wall, RestoredState((), ((1, 2),)), str, "d", int(wall), list)
 
-            keep(1e12)
-            real, last = os.write, [False]
+            save(1e12)
+            real, killed = os.write, [False]
 
-            def half(fd: int, data: Any) -> int:
+            def write_half(fd: int, data: Any) -> int:
                 real(fd, bytes(data)[: len(data) // 2])
-                if last[0]:
+                if killed[0]:
                     raise Killed
                 raise OSError(errno.EIO, "Input/output error")
 
-            with mock.patch.object(os, "write", half):
-                keep(1e12 + 2_000)
-                last[0] = True
+            with mock.patch.object(os, "write", write_half):
+                save(1e12 + 2_000)
+                killed[0] = True
                 with self.assertRaises(Killed):
-                    keep(1e12 + 4_000)
-            later = StateCache(Path(made), 2, ("orders",))
+                    save(1e12 + 4_000)
+            later = StateCache(Path(name), 2, ("orders",))
             later.read(1e12 + 5_000, "d", -1)
             self.assertIsNotNone(later.found)
             assert later.found
--- a/tests/recovery/test_folder_lease.py
+++ b/tests/recovery/test_folder_lease.py
@@ -1,4 +1,5 @@
-"""Who owns a folder: one life at a time, also when processes stall, start twice or find what others left."""
+"""The folder lease: one incarnation at a time owns the folder, also if processes stall, start twice or find files of
+others."""
 
 from __future__ import annotations
 
@@ -24,6 +25,8 @@
 
 
 class Time:
+    """A clock that is set by the test, in seconds."""
+
     def __init__(self, now: float = 100.0) -> None:
         self.now = now
 
@@ -31,7 +34,7 @@
         return self.now
 
 
-class Lives(unittest.TestCase):
+class Leases(unittest.TestCase):
     def setUp(self) -> None:
         made = tempfile.TemporaryDirectory()
         self.addCleanup(made.cleanup)
@@ -41,24 +44,24 @@
     def monitor(self) -> LeaseMonitor:
         return LeaseMonitor(self.folder, self.mono, self.wall)
 
-    def began(self) -> FolderLease:
+    def acquired(self) -> FolderLease:
         lease = self.monitor().try_acquire()
         assert lease
         self.addCleanup(lease.close)
         return lease
 
-    def test_numbers_only_grow_whatever_the_clock_says(self) -> None:
-        first = self.began()
+    def test_numbers_only_grow_whatever_the_clock_shows(self) -> None:
+        first = self.acquired()
         first.close()
         self.wall.now = 900.0
-        second = self.began()
+        second = self.acquired()
         second.close()
         self.wall.now = 5_000.0
-        self.assertEqual([first.incarnation, second.incarnation, self.began().incarnation], [1_000, 1_001, 5_000])
+        self.assertEqual([first.incarnation, second.incarnation, self.acquired().incarnation], [1_000, 1_001, 5_000])
         self.assertEqual(len(list(self.folder.glob("life-*"))), 1)
 
-    def test_a_living_owner_keeps_the_folder(self) -> None:
-        owner, other = self.began(), self.monitor()
+    def test_a_live_owner_keeps_the_folder(self) -> None:
+        owner, other = self.acquired(), self.monitor()
         for _ in range(40):
             self.mono.now += 0.5
             owner.renew()
@@ -66,13 +69,13 @@
         self.assertIn(f"life {owner.incarnation} (process {os.getpid()}) has it and is alive", other.wait_reason)
         owner.check()
 
-    def test_a_dead_owner_is_followed_at_once(self) -> None:
-        owner = self.began()
-        owner.close()  # as the kernel does with a killed process's
-        self.began().check()
+    def test_a_dead_owner_is_replaced_at_once(self) -> None:
+        owner = self.acquired()
+        owner.close()  # as the kernel does for a killed process
+        self.acquired().check()
 
-    def test_a_stalled_owner_is_replaced_and_finds_out_before_its_next_act(self) -> None:
-        owner, other = self.began(), self.monitor()
+    def test_a_stalled_owner_is_replaced_and_its_next_check_fails(self) -> None:
+        owner, other = self.acquired(), self.monitor()
         self.assertIsNone(other.try_acquire())
         self.mono.now += EXPIRED_S - 0.1
         self.assertIsNone(other.try_acquire())
@@ -80,34 +83,34 @@
         later = other.try_acquire()
         assert later
         self.addCleanup(later.close)
-        told: list[str] = []
-        owner.on_lost = lambda: told.append(owner.lost)
+        notices: list[str] = []
+        owner.on_lost = lambda: notices.append(owner.lost)
         with self.assertRaises(FolderLost):
             owner.check()
-        self.assertEqual(len(told), 1)
+        self.assertEqual(len(notices), 1)
         later.check()
 
-    def test_a_stall_that_nobody_used_costs_nothing(self) -> None:
-        owner = self.began()
+    def test_a_stalled_owner_that_nobody_replaced_keeps_its_lease(self) -> None:
+        owner = self.acquired()
         self.mono.now += 100.0
         owner.check()
 
-    def test_a_watcher_that_stalls_itself_believes_only_what_it_sees_now(self) -> None:
-        owner, other = self.began(), self.monitor()
+    def test_a_monitor_that_stalled_itself_does_not_replace_the_owner(self) -> None:
+        owner, other = self.acquired(), self.monitor()
         self.assertIsNone(other.try_acquire())
-        self.mono.now += 60.0  # both stood still; the owner goes on first
+        self.mono.now += 60.0  # both stalled; the owner resumes first
         owner.renew()
         self.assertIsNone(other.try_acquire())
 
     def test_an_emptied_folder_is_no_longer_owned(self) -> None:
-        owner = self.began()
+        owner = self.acquired()
         for path in list(self.folder.iterdir()):
             path.unlink()
         with self.assertRaisesRegex(FolderLost, "emptied or replaced"):
             owner.check()
 
-    def test_what_cannot_be_proved_is_not_done(self) -> None:
-        owner = self.began()
+    def test_nothing_is_recorded_while_the_lease_cannot_be_proved(self) -> None:
+        owner = self.acquired()
         journal = Journal(self.folder, 3e6, owner.incarnation, owner.check)
         self.addCleanup(journal.close)
         entry = Entry(journal.next_number, "m", "orders", 7, 5e12, None, b"")
@@ -122,16 +125,16 @@
         journal.record_attempt(entry.number, 0, 1.0, 0)
         self.assertEqual(owner.incarnation << 32, entry.number)
 
-    def test_left_overs_of_dead_processes(self) -> None:
+    def test_files_of_dead_processes_are_removed_and_others_kept(self) -> None:
         self.folder.mkdir()
         (self.folder / "claim.lock").write_text("")
         (self.folder / "life-7").write_text("")
         (self.folder / "life-9").write_bytes(b"\xff" * 200)
         (self.folder / "life-x").write_text("mine")
-        self.assertEqual(self.began().incarnation, 1_000)
+        self.assertEqual(self.acquired().incarnation, 1_000)
         self.assertEqual(sorted(p.name for p in self.folder.iterdir()), ["claim.lock", "life-1000", "life-x"])
 
-    def test_folders_that_cannot_be_used_say_what_would_do(self) -> None:
+    def test_an_unusable_folder_is_reported_with_a_hint(self) -> None:
         file = self.folder.parent / "file"
         file.write_text("")
         with self.assertRaisesRegex(FolderProblem, "not a folder: move the file away"):
@@ -146,7 +149,7 @@
                 with self.assertRaisesRegex(FolderProblem, hint):
                     self.monitor().try_acquire()
 
-    def test_waiting_is_bounded(self) -> None:
+    def test_waiting_for_the_folder_is_bounded(self) -> None:
         async def test() -> None:
             owner = await acquire_folder(self.folder)
             with self.assertRaisesRegex(FolderInUse, "in use: life"):
@@ -156,28 +159,28 @@
 
         anyio.run(test)
 
-    def test_a_kill_after_each_file_operation_of_a_start(self) -> None:
-        """The next start finds a folder that it can use, with a higher number, and no message lost."""
+    def test_a_start_after_a_kill_at_any_file_operation_of_a_start(self) -> None:
+        """The next start can use the folder, gets a higher number, and finds every message."""
 
         class Killed(BaseException):
             pass
 
         real = {name: getattr(os, name) for name in ("open", "write", "pwrite", "unlink", "rename")}
-        for last in range(1, 40):
+        for allowed in range(1, 40):
             with tempfile.TemporaryDirectory() as name:
                 folder = Path(name)
                 lease = LeaseMonitor(folder).try_acquire()
                 assert lease
                 journal = Journal(folder, 3e6, lease.incarnation, lease.check)
-                kept = Entry(journal.next_number, "m", "orders", 7, 5e12, None, b"body")
-                journal.record_accepted(kept)
+                accepted = Entry(journal.next_number, "m", "orders", 7, 5e12, None, b"body")
+                journal.record_accepted(accepted)
                 journal.close()
                 lease.close()
                 (path,) = folder.glob("journal-*.log")
                 path.write_bytes(path.read_bytes() + b"torn")
                 done = 0
 
-                def counted(operation: str, most: int = last):  # type: ignore[no-untyped-def]
+                def counted(operation: str, most: int = allowed):  # type: ignore[no-untyped-def]
                     def call(*args, **kwargs):  # type: ignore[no-untyped-def]
                         nonlocal done
                         done += 1
@@ -188,15 +191,17 @@
                     return call
 
                 held: list[int] = []
-                with mock.patch.multiple(os, **{each: counted(each) for each in real}):
+                with mock.patch.multiple(os, **{operation: counted(operation) for operation in real}):
                     try:
                         second = LeaseMonitor(folder).try_acquire()
                         assert second
                         held.append(second._fd)
-                        again = Journal(folder, 3e6, second.incarnation, second.check)
-                        again.record_closed(again.next_number)
-                        again.record_accepted(Entry(again.next_number, "n", "orders", 7, 5e12, None, b""))
-                        again.close()
+                        second_journal = Journal(folder, 3e6, second.incarnation, second.check)
+                        second_journal.record_closed(second_journal.next_number)
+                        second_journal.record_accepted(
+                            Entry(second_journal.next_number, "n", "orders", 7, 5e12, None, b"")
+                        )
+                        second_journal.close()
                     except Killed:
                         pass
                 for fd in held:
@@ -204,23 +209,25 @@
                 third = LeaseMonitor(folder).try_acquire()
                 assert third
                 self.assertGreater(third.incarnation, lease.incarnation)
-                found = Journal(folder, 3e6, third.incarnation)
-                self.assertEqual(found.entries[kept.number].body, b"body")
-                self.assertFalse([one for one in found.damage if not one.repaired], (last, found.damage))
-                found.close()
+                third_journal = Journal(folder, 3e6, third.incarnation)
+                self.assertEqual(third_journal.entries[accepted.number].body, b"body")
+                self.assertFalse(
+                    [damage for damage in third_journal.damage if not damage.repaired], (allowed, third_journal.damage)
+                )
+                third_journal.close()
                 third.close()
-                if done <= last:
+                if done <= allowed:
                     return
-        self.fail("the start never came to its end")
+        self.fail("no start completed within 40 file operations")
 
 
 class Owners(RuleBasedStateMachine):
-    """Processes that begin, stall, go on, die and act in any order: no two may act in the same instant of time."""
+    """Processes begin, stall, resume, die and act in any order: once a later incarnation acted, no earlier one may."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.made = tempfile.TemporaryDirectory()
-        self.folder = Path(self.made.name)
+        self.temporary = tempfile.TemporaryDirectory()
+        self.folder = Path(self.temporary.name)
         self.mono = Time()
         self.monitors = [LeaseMonitor(self.folder, self.mono, Time(50.0)) for _ in range(3)]
         self.leases: list[FolderLease] = []
@@ -229,31 +236,31 @@
     def teardown(self) -> None:
         for lease in self.leases:
             lease.close()
-        self.made.cleanup()
+        self.temporary.cleanup()
 
     @rule(seconds=st.sampled_from([0.1, 0.5, 1.9, 2.1, 5.1]))
     def time_passes(self, seconds: float) -> None:
         self.mono.now += seconds
 
-    @rule(which=st.integers(0, 2))
-    def looks(self, which: int) -> None:
-        if lease := self.monitors[which].try_acquire():
+    @rule(index=st.integers(0, 2))
+    def looks(self, index: int) -> None:
+        if lease := self.monitors[index].try_acquire():
             self.leases.append(lease)
 
     @precondition(lambda self: self.leases)
-    @rule(which=st.integers(0, 9))
-    def renews(self, which: int) -> None:
-        self.leases[which % len(self.leases)].renew()
+    @rule(index=st.integers(0, 9))
+    def renews(self, index: int) -> None:
+        self.leases[index % len(self.leases)].renew()
 
     @precondition(lambda self: self.leases)
-    @rule(which=st.integers(0, 9))
-    def dies(self, which: int) -> None:
-        self.leases.pop(which % len(self.leases)).close()
+    @rule(index=st.integers(0, 9))
+    def dies(self, index: int) -> None:
+        self.leases.pop(index % len(self.leases)).close()
 
     @precondition(lambda self: self.leases)
-    @rule(which=st.integers(0, 9))
-    def acts(self, which: int) -> None:
-        lease = self.leases[which % len(self.leases)]
+    @rule(index=st.integers(0, 9))
+    def acts(self, index: int) -> None:
+        lease = self.leases[index % len(self.leases)]
         try:
             lease.check()
         except FolderProblem:
@@ -261,7 +268,7 @@
         self.acted.append((self.mono.now, lease.incarnation))
 
     @invariant()
-    def acts_are_in_the_order_of_lives(self) -> None:
+    def acts_are_in_the_order_of_incarnations(self) -> None:
         incarnations = [incarnation for _, incarnation in self.acted]
         assert incarnations == sorted(incarnations), self.acted
 
@@ -271,16 +278,16 @@
 
 
 class Processes(unittest.TestCase):
-    """The same between processes of the program."""
+    """The same with real processes."""
 
-    def test_a_second_process_ends_with_a_line_and_a_code(self) -> None:
+    def test_a_second_process_exits_with_an_error_and_a_stalled_one_is_replaced(self) -> None:
         code = (
             "import sys, anyio; from pathlib import Path; from calicohitch.recovery import folder_lease\n"
             "async def main():\n"
-            "    held = await folder_lease.acquire_folder(Path(sys.argv[1]), 0.3)\n"
+            "    lease = await folder_lease.acquire_folder(Path(sys.argv[1]), 0.3)\n"
             "    print('held', flush=True)\n"
-            "    while not held.lost: held.renew(); await anyio.sleep(0.1)\n"
-            "    print(held.lost, flush=True)\n"
+            "    while not lease.lost: lease.renew(); await anyio.sleep(0.1)\n"
+            "    print(lease.lost, flush=True)\n"
             "anyio.run(main)"
         )
         with tempfile.TemporaryDirectory() as name:
