--- a/calicohitch/net/__init__.py
+++ b/calicohitch/net/__init__.py
@@ -1,1 +1,1 @@
-"""The relay on real sockets."""
+"""The relay and its network connections: discovery, endpoints, notices and peers."""
--- a/calicohitch/net/notices.py
+++ b/calicohitch/net/notices.py
@@ -1,4 +1,4 @@
-"""Notices to the platform: how messages ended that were taken on and not delivered."""
+"""Notices to the platform: the outcomes of accepted messages that were not delivered."""
 
 from __future__ import annotations
 
@@ -15,31 +15,34 @@
 from ..core.descriptor_budget import DescriptorUse, DescriptorBudget
 from .http import PersistentConnection
 
-_BATCH = 200  # notices in one request: well under 64 KiB
-# An agent answers at once, and a message has to be ended 300 ms after its time: a hung connection leaves room for one
-# more. Each further silence doubles the wait.
-_ANSWER_S, _ANSWER_MAX_S = 0.1, 1.0
-_PAUSE_S = 0.05
+_MAX_BATCH_SIZE = 200  # notices per request, well under 64 KiB
+# The platform's agent normally answers at once. A notice has to arrive within 300 ms after the message's deadline, so
+# the first time-out is short enough for a second attempt after a hung connection. Each further failure doubles it.
+_RESPONSE_TIMEOUT_S, _MAX_RESPONSE_TIMEOUT_S = 0.1, 1.0
+_RETRY_PAUSE_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
+    """The outcome of one message; `number` is its number in the journal."""
+
     number: int
     id: str
     end: End
 
     def line(self) -> str:
-        told: dict[str, str | int] = {
+        """The notice as a JSON object, without the line end."""
+        fields: dict[str, str | int] = {
             "message": self.id,
             "outcome": "handed_back" if self.end.handed_back else "given_up",
         }
         if self.end.handed_back and self.end.retry_in > 0:
-            told["retry_in_ms"] = round(self.end.retry_in)
-        return json.dumps(told, separators=(",", ":"))
+            fields["retry_in_ms"] = round(self.end.retry_in)
+        return json.dumps(fields, separators=(",", ":"))
 
 
 class Notices:
-    """Sends notices in order until each is acknowledged; open messages bound how many can wait."""
+    """Sends notices in order until each is acknowledged. The limit of open messages bounds how many can wait."""
 
     def __init__(
         self,
@@ -48,59 +51,60 @@
         descriptors: DescriptorBudget | None = None,
         may_act: Callable[[], bool] = lambda: True,
     ) -> None:
-        """`may_act`: asked before each request; while it says no, nothing is sent."""
+        """`acknowledged`: called with the number of each acknowledged notice. `may_act`: checked before each request;
+        nothing is sent while it is False."""
         descriptor = (descriptors, DescriptorUse.NOTICES) if descriptors else None
         self._agent, self._acknowledged = PersistentConnection(address, descriptor=descriptor), acknowledged
         self._may_act = may_act
-        self._waiting: deque[Notice] = deque()
-        self._news = anyio.Event()
+        self._unacknowledged: deque[Notice] = deque()
+        self._notice_added = anyio.Event()
         self._failures = 0
 
     def move(self, address: Address) -> None:
-        """What is not acknowledged yet goes there: a notice that comes twice does no harm."""
+        """Send to this address from now on, also what is not acknowledged yet: a duplicate notice does no harm."""
         self._agent.move(address)
 
     def add(self, notice: Notice) -> None:
-        self._waiting.append(notice)
-        self._news.set()
+        self._unacknowledged.append(notice)
+        self._notice_added.set()
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._unacknowledged)
 
     async def run(self) -> None:
-        most = _BATCH
+        batch_limit = _MAX_BATCH_SIZE
         while True:
-            while not self._waiting:
-                self._news = anyio.Event()
-                await self._news.wait()
+            while not self._unacknowledged:
+                self._notice_added = anyio.Event()
+                await self._notice_added.wait()
             if not self._may_act():
-                await anyio.sleep(_PAUSE_S)
+                await anyio.sleep(_RETRY_PAUSE_S)
                 continue
-            batch = [self._waiting[n] for n in range(min(most, len(self._waiting)))]
+            batch = [self._unacknowledged[position] for position in range(min(batch_limit, len(self._unacknowledged)))]
             try:
                 status = await self._post("".join(notice.line() + "\n" for notice in batch).encode())
             except OSError as err:
                 if not self._failures:
-                    logger.warning("notices: {}: {}; they are sent again", type(err).__name__, err)
+                    logger.warning("notices: {}: {}; the request is retried", type(err).__name__, err)
                 self._failures += 1
-                if not isinstance(err, TimeoutError):  # which was a pause
-                    await anyio.sleep(_PAUSE_S)
+                if not isinstance(err, TimeoutError):  # the time-out itself was a pause
+                    await anyio.sleep(_RETRY_PAUSE_S)
                 continue
             self._failures = 0
             if status == 400 and len(batch) > 1:
-                most = 1  # find the one that cannot be read
+                batch_limit = 1  # send them one by one to find the one that is rejected
                 continue
             if status not in (200, 202, 204, 400):
-                await anyio.sleep(_PAUSE_S)
+                await anyio.sleep(_RETRY_PAUSE_S)
                 continue
             if status == 400:
-                logger.error("notices: {!r} was not understood and is dropped", batch[0].line())
-            most = _BATCH
+                logger.error("notices: {!r} was rejected as invalid and is dropped", batch[0].line())
+            batch_limit = _MAX_BATCH_SIZE
             for notice in batch:
-                self._waiting.popleft()
+                self._unacknowledged.popleft()
                 self._acknowledged(notice.number)
 
     async def _post(self, body: bytes) -> int:
         headers = [(b"Content-Type", b"application/x-ndjson")]
-        limit = min(_ANSWER_S * 2 ** min(self._failures, 8), _ANSWER_MAX_S)
-        return (await self._agent.request("POST", "/reports", limit, headers, body)).status
+        timeout_s = min(_RESPONSE_TIMEOUT_S * 2 ** min(self._failures, 8), _MAX_RESPONSE_TIMEOUT_S)
+        return (await self._agent.request("POST", "/reports", timeout_s, headers, body)).status
--- a/calicohitch/net/peers.py
+++ b/calicohitch/net/peers.py
@@ -1,4 +1,4 @@
-"""Short notes between relays: one UDP datagram each, which may be late or lost."""
+"""Short messages between relays, one UDP datagram each; they may arrive late or be lost."""
 
 from __future__ import annotations
 
@@ -11,59 +11,63 @@
 
 from ..config import Address
 
-MAX_NOTE = 256
-_AGAIN_S = 0.05
+MAX_DATAGRAM_BYTES = 256
+_BIND_RETRY_INTERVAL_S = 0.05
 
 
 class Peers:
     def __init__(
-        self, listen: Address, peers: tuple[Address, ...], everyone: Address | None, heard: Callable[[int, bytes], None]
+        self,
+        listen: Address,
+        peers: tuple[Address, ...],
+        broadcast: Address | None,
+        on_message: Callable[[int, bytes], None],
     ) -> None:
-        self._peers, self._everyone, self._heard = peers, everyone, heard
-        self._numbers = {(peer.host, peer.port): n for n, peer in enumerate(peers)}
+        self._peers, self._broadcast, self._on_message = peers, broadcast, on_message
+        self._numbers = {(peer.host, peer.port): number for number, peer in enumerate(peers)}
         self._listen = listen
         self._sock: socket.socket | None = None
-        with suppress(OSError):  # its address may not be free yet: `run` tries again
-            self._sock = self._opened()
+        with suppress(OSError):  # the address may still be in use: `run` retries
+            self._sock = self._open_socket()
 
     def send(self, peer: int | None, data: bytes) -> None:
-        """Send a note to one relay, or to all where `peer` is None; one that cannot be sent is lost."""
-        to = self._everyone if peer is None else self._peers[peer] if peer < len(self._peers) else None
-        if self._sock is None or to is None or len(data) > MAX_NOTE:
+        """Send a message to one relay, or to all if `peer` is None; one that cannot be sent is lost."""
+        address = self._broadcast if peer is None else self._peers[peer] if peer < len(self._peers) else None
+        if self._sock is None or address is None or len(data) > MAX_DATAGRAM_BYTES:
             return
         try:
-            self._sock.sendto(data, (to.host, to.port))
+            self._sock.sendto(data, (address.host, address.port))
         except OSError as err:
-            logger.debug("a note was lost: {}", err)
+            logger.debug("a message to another relay was lost: {}", err)
 
     async def run(self) -> None:
-        sock = self._sock or await self._bound()
+        sock = self._sock or await self._wait_until_bound()
         while True:
             await anyio.wait_readable(sock)
             try:
-                data, sender = sock.recvfrom(MAX_NOTE + 1)
-            except OSError:  # nothing there after all, or word that an earlier note was not delivered
+                data, sender_address = sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
+            except OSError:  # spurious wake-up, or the ICMP error of an earlier datagram
                 await anyio.sleep(0)
                 continue
-            number = self._numbers.get(sender[:2])
-            if number is not None and len(data) <= MAX_NOTE:
-                self._heard(number, data)
+            number = self._numbers.get(sender_address[:2])
+            if number is not None and len(data) <= MAX_DATAGRAM_BYTES:
+                self._on_message(number, data)
 
-    async def _bound(self) -> socket.socket:
-        """Guards a start against an earlier process that is still ending: notes begin a little later, and the relay
-        serves without them."""
+    async def _wait_until_bound(self) -> socket.socket:
+        """Retry to bind while a terminating earlier process still holds the address. Until then the relay serves
+        without messages from its peers."""
         warned = False
         while True:
             try:
-                self._sock = self._opened()
+                self._sock = self._open_socket()
                 return self._sock
             except OSError as err:
                 if not warned:
                     warned = True
-                    logger.warning("notes cannot be heard at {} yet: {}", self._listen, err)
-                await anyio.sleep(_AGAIN_S)
+                    logger.warning("cannot receive messages from other relays on {} yet: {}", self._listen, err)
+                await anyio.sleep(_BIND_RETRY_INTERVAL_S)
 
-    def _opened(self) -> socket.socket:
+    def _open_socket(self) -> socket.socket:
         family = socket.AF_INET6 if ":" in self._listen.host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_DGRAM)
         try:
--- a/calicohitch/net/relay.py
+++ b/calicohitch/net/relay.py
@@ -1,6 +1,6 @@
-"""One relay: it owns the decisions and the open messages, feeds events to them and carries out their actions.
+"""The relay: owns the decision engine and the open messages, feeds events to the engine and carries out its actions.
 
-How a message is handed in is none of its business: any server may put a protocol before `submit`.
+It does not depend on how messages are submitted: an intake of any protocol calls `Relay.submit`.
 """
 
 from __future__ import annotations
@@ -43,39 +43,44 @@
     from ..tracing.facts import AttemptFacts
     from ..tracing.tracer import Tracer
 
-_LIST_S = 0.3
-_OVERDUE_MS = 50.0  # after its time a message is ended here, and so long between two looks: see `Notices`
-_DISK_S = 0.02  # between two tries to write what a disk refused
-_KEEP_S = 0.25  # between two looks at what the next life had better know
-_UNREAD_GROWS = 10  # times what was logged, before it is logged again
-_FLEET_S = 5.0  # a start waits so long for the coordination store before it serves what needs none
-_COPIED_S = 0.35  # a client waits 0.4 s for its answer
-_TOLD_DAMAGES = 20  # stretches of the journal that are logged one by one
+_FIRST_DISCOVERY_TIMEOUT_S = 0.3
+# How long after its deadline `_end_overdue` ends a message, and the interval of that check. The notice still has to
+# arrive within 300 ms after the deadline: see `Notices`.
+_OVERDUE_GRACE_MS = 50.0
+_DISK_RETRY_INTERVAL_S = 0.02
+_STATE_CHECK_INTERVAL_S = 0.25
+_UNREAD_LOG_FACTOR = 10  # unreadable peer messages are logged again once their count has grown by this factor
+# After this wait for the coordination store, a starting relay serves the messages that need no replication.
+_REPLICATION_START_TIMEOUT_S = 5.0
+_REPLICATION_TIMEOUT_S = 0.35  # a client waits 0.4 s for the response to its submission
+_MAX_LOGGED_DAMAGED_REGIONS = 20  # one log line each; the summary counts all
 
 
 @dataclass(slots=True, eq=False)
-class _Open:
-    """A message that is owed its end."""
+class _OpenMessage:
+    """A message whose outcome is still open."""
 
     entry: Entry
-    told: Submission | None = None  # None: an earlier life took it on
-    accepted: bool = False  # the decisions have it
-    calls: dict[int, anyio.CancelScope] = field(default_factory=dict)
-    written: set[int] = field(default_factory=set)  # attempts whose records are there: of these a byte may have left
-    withdrawn: bool = False  # its client has gone; the attempt that is out ends by itself
+    submission: Submission | None = None  # None: accepted by an earlier incarnation or by another relay
+    accepted: bool = False  # the decision engine has it
+    calls: dict[int, anyio.CancelScope] = field(default_factory=dict)  # by attempt number
+    recorded: set[int] = field(default_factory=set)  # attempts with a record: bytes of these may be sent
+    withdrawn: bool = False  # its client has disconnected; an attempt in progress is left to finish
 
     @property
     def reply(self) -> Reply | None:
-        return self.told.reply if self.told and not self.withdrawn else None
+        return self.submission.reply if self.submission and not self.withdrawn else None
 
 
-def _earlier(entry: Entry) -> tuple[i.EarlierAttempt, ...]:
-    return tuple(i.EarlierAttempt(to_micros(was.sent_at), was.zone, was.may_have_run) for was in entry.attempts)
+def _earlier_attempts(entry: Entry) -> tuple[i.EarlierAttempt, ...]:
+    return tuple(
+        i.EarlierAttempt(to_micros(attempt.sent_at), attempt.zone, attempt.may_have_run) for attempt in entry.attempts
+    )
 
 
 class Relay:
-    """Decisions on sockets. `run` serves until it is cancelled; `submit` hands a message in. `tracer`, if there
-    is one, is told what happens and changes nothing."""
+    """Runs the decision engine on real sockets. `run` serves until it is cancelled; `submit` submits a message. The
+    optional `tracer` only observes."""
 
     def __init__(
         self,
@@ -83,17 +88,18 @@
         clock: Clock,
         journal: Journal,
         tracer: Tracer | None = None,
-        speaks: Callable[[str, str, int], int] = lambda *_: 1,
+        protocol_of: Callable[[str, str, int], int] = lambda *_: 1,
         reserved: int = 0,
         state_cache: StateCache | None = None,
-        up_at: float | None = None,
+        started_at: float | None = None,
         replicator: Replicator | None = None,
     ) -> None:
-        """`state_cache`: what is kept of the world between lives; without one a life begins knowing nothing. `up_at`:
-        when the process began, on the clock. `replicator`: other relays hold copies of this one's work, and take
-        it over."""
+        """`protocol_of`: the protocol number that an endpoint speaks, passed on to `Directory`. `reserved`: file
+        descriptors set aside for other users. `state_cache`: platform state stored between incarnations; without it
+        the relay starts with none. `started_at`: start of the process, in milliseconds of `clock`. `replicator`:
+        replicates messages to other relays, which take them over on failover."""
         self._state_cache = state_cache
-        self.recovery = Recovery(clock.now() if up_at is None else up_at)
+        self.recovery = Recovery(clock.now() if started_at is None else started_at)
         self._config, self._clock, self._journal = config, clock, journal
         settings = config.settings
         self._engine = DecisionEngine(settings, config.seed)
@@ -101,29 +107,32 @@
         self.descriptors = divide_descriptors(config.limits.sockets, reserved)
         if tracer:
             tracer.why = self._engine.why_held
-            self.descriptors.acquire(DescriptorUse.TRACING)  # for its collector, whether it has one or not
-        self._open: dict[int, _Open] = {}
+            # for the collector connection, reserved even if no collector is configured
+            self.descriptors.acquire(DescriptorUse.TRACING)
+        self._open: dict[int, _OpenMessage] = {}
         self._by_id: dict[str, int] = {}
         self._events: deque[i.Event] = deque()
         self._feeding = False
-        self._covered: dict[int, Entry] = {}  # the folder's copied messages, until the store tells whose they are
-        self._adopting: dict[int, Entry] = {}  # others' messages that are journaled here, and not this relay's yet
-        self._begun = anyio.Event()
+        self._awaiting_ownership: dict[int, Entry] = {}  # replicated, owner not known yet
+        self._adopting: dict[int, Entry] = {}  # journaled, ownership not confirmed yet
+        self._replication_started = anyio.Event()
         self._timers: list[tuple[float, int]] = []
         self._timer_set = anyio.Event()
         self._tasks: TaskGroup | None = None
         self.ready = self.stopping = False
         self.changed_since_saved = False
         self.max_clients = config.limits.sockets // 2
-        self._directory = Directory(config.names, speaks)
+        self._directory = Directory(config.names, protocol_of)
         backoff = Backoff(settings.couriers, config.seed)
         timeouts = DiscoveryTimeouts(settings.asks_for_list, backoff)
-        self._discovery = Discovery(config.discovery, self._directory, self._listed, timeouts, self.descriptors)
-        self._waits: dict[int, float] = {}  # destination, or endpoint where those are routes apart -> its end
+        self._discovery = Discovery(
+            config.discovery, self._directory, self._endpoint_list_updated, timeouts, self.descriptors
+        )
+        self._waits: dict[int, float] = {}  # by `_route`: when the retry-after ends, in ms
         self._disk_refused = ChangeNotifier()
         journal.on_refused = self._disk_refused.notify
         self._pending_ends = PendingEnds(journal, clock.now, self._send_notice)
-        self._notices = Notices(config.discovery, self._closed, self.descriptors, self._may_end)
+        self._notices = Notices(config.discovery, self._record_closed, self.descriptors, self._may_end)
         self._endpoints = Endpoints(
             clock,
             tuple(report.name for report in settings.reports),
@@ -140,13 +149,13 @@
             journal.copier = replicator.record
         self._peers: Peers | None = None
         if settings.may_tell and config.peer_listen:
-            self._peers = Peers(config.peer_listen, config.peers, config.peers_all, self._heard)
+            self._peers = Peers(config.peer_listen, config.peers, config.peers_all, self._peer_message_received)
 
     async def run(self) -> None:
-        """Take up what an earlier life left open, then serve."""
+        """Recover the messages that an earlier incarnation left open, then serve."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
-            tasks.start_soon(restart_on_failure, self._ring)
+            tasks.start_soon(restart_on_failure, self._run_timers)
             tasks.start_soon(restart_on_failure, self._save_state_periodically)
             tasks.start_soon(restart_on_failure, self._end_overdue)
             tasks.start_soon(restart_on_failure, self._write_pending)
@@ -157,77 +166,95 @@
                 tasks.start_soon(restart_on_failure, self._peers.run)
             if self._tracer:
                 tasks.start_soon(restart_on_failure, self._tracer.run)
-            self._read_known()
+            self._load_endpoint_list()
             tasks.start_soon(restart_on_failure, self._discovery.run)
             if self._replicator:
                 tasks.start_soon(self._replicator.run)
-            # The list in the configuration may be old, and an endpoint on it drain by now: nothing is sent
-            # before discovery was heard. A silent one does not keep the relay from serving.
-            with anyio.move_on_after(_LIST_S):
+            # The endpoint list in the configuration may be outdated and name endpoints that are draining, so nothing
+            # is sent before the first discovery response. If discovery does not answer, the relay serves anyway.
+            with anyio.move_on_after(_FIRST_DISCOVERY_TIMEOUT_S):
                 await self._discovery.heard.wait()
             self._recover()
             if self._replicator:
                 tasks.start_soon(self._begin_replication)
-                with anyio.move_on_after(_FLEET_S):
-                    await self._begun.wait()
+                with anyio.move_on_after(_REPLICATION_START_TIMEOUT_S):
+                    await self._replication_started.wait()
             self.ready = True
 
     def follow(self, config: Config) -> None:
-        """Take what a new configuration says of discovery; all else in it waits for the next start."""
+        """Apply the discovery address of a new configuration; all other changes in it need a restart."""
         if config.discovery == self._config.discovery:
-            return  # its watch goes on
-        logger.info("discovery is now at {}", config.discovery)
+            return  # the current watch continues
+        logger.info("discovery address changed to {}", config.discovery)
         self._config = replace(self._config, discovery=config.discovery)
         self._discovery.move(config.discovery)
         self._notices.move(config.discovery)
 
     @property
     def idle(self) -> bool:
-        """Nothing is owed to anyone."""
+        """No message is open and no end or notice is pending."""
         ending = len(self._pending_ends) or len(self._notices) or self._replicator and self._replicator.ends_waiting
         return not self._open and not ending
 
-    def submit(self, told: Submission) -> int | Refusal:
-        """Journal a message. `accept` must follow once its client was told, or `withdraw` if it was not."""
-        taken = self._submit(told)
-        if isinstance(taken, Refusal) and taken not in (Refusal.ALREADY_ACCEPTED, Refusal.BEING_SUBMITTED):
-            self.turned_away(told, taken)
-        return taken
+    def submit(self, submission: Submission) -> int | Refusal:
+        """Write a message to the journal; returns its number. `accept` must follow once the client has the response, or
+        `withdraw` if it did not get one."""
+        result = self._submit(submission)
+        if isinstance(result, Refusal) and result not in (Refusal.ALREADY_ACCEPTED, Refusal.BEING_SUBMITTED):
+            self.turned_away(submission, result)
+        return result
 
-    def turned_away(self, told: Submission, why: Refusal) -> None:
-        """An intake refuses a message by itself, or `submit` did: its story is told all the same."""
+    def turned_away(self, submission: Submission, refusal: Refusal) -> None:
+        """Trace the refusal of a message by an intake or by `submit`."""
         if self._tracer:
             self._tracer.submission_refused(
-                told.id, told.class_index, told.dest, told.headers, told.key, why.value, told.handed_in_again
+                submission.id,
+                submission.class_index,
+                submission.dest,
+                submission.headers,
+                submission.key,
+                refusal.value,
+                submission.handed_in_again,
             )
 
-    def _submit(self, told: Submission) -> int | Refusal:
-        if (number := self._by_id.get(told.id)) is not None:
-            # The client sent its request again, or another has its id: only the first may accept or withdraw.
+    def _submit(self, submission: Submission) -> int | Refusal:
+        if (number := self._by_id.get(submission.id)) is not None:
+            # A repeated request, or another client used the same id: only the first may accept or withdraw.
             return Refusal.ALREADY_ACCEPTED if self._open[number].accepted else Refusal.BEING_SUBMITTED
         if self.stopping or not self.ready:
             return Refusal.STOPPING if self.stopping else Refusal.STARTING
-        if told.key is None and self._config.settings.classes[told.class_index].effect is i.Effect.KEYED:
-            return Refusal.NO_KEY  # it could not be repeated as its class may
-        if not self._directory.knows(told.dest):
+        if submission.key is None and self._config.settings.classes[submission.class_index].effect is i.Effect.KEYED:
+            return Refusal.NO_KEY  # without a key its attempts could not be retried as its class allows
+        if not self._directory.knows(submission.dest):
             return Refusal.UNKNOWN
-        room = len(self._open) < self._config.settings.open_cap and self._engine.has_room()
-        if not room or not self._journal.has_room(len(told.body)):
+        has_capacity = len(self._open) < self._config.settings.open_cap and self._engine.has_room()
+        if not has_capacity or not self._journal.has_room(len(submission.body)):
             return Refusal.FULL
-        if told.reply and (known := self._call_history.recall(told.id)):
-            return self._submit_again(known, told)
-        if self._replicator and not told.reply and (why := self._replicator.refuses(told.class_index, told.id)):
-            return why
+        if submission.reply and (earlier_entry := self._call_history.recall(submission.id)):
+            return self._submit_again(earlier_entry, submission)
+        if (
+            self._replicator
+            and not submission.reply
+            and (refusal := self._replicator.refuses(submission.class_index, submission.id))
+        ):
+            return refusal
         number = self._journal.next_number
-        longest = to_ms(self._config.settings.classes[told.class_index].deadline)
+        max_deadline_ms = to_ms(self._config.settings.classes[submission.class_index].deadline)
         now = self._clock.now()
-        deadline = now + min(max(told.time_left, 0.0), longest)
-        class_name = self._config.names.classes[told.class_index]
+        deadline = now + min(max(submission.time_left, 0.0), max_deadline_ms)
+        class_name = self._config.names.classes[submission.class_index]
         entry = Entry(
-            number, told.id, class_name, told.dest, deadline, told.key, told.body, call=told.reply is not None
+            number,
+            submission.id,
+            class_name,
+            submission.dest,
+            deadline,
+            submission.key,
+            submission.body,
+            call=submission.reply is not None,
         )
         if self._tracer:
-            entry.trace = self._tracer.submission_received(entry, told.headers, now, told.handed_in_again)
+            entry.trace = self._tracer.submission_received(entry, submission.headers, now, submission.handed_in_again)
         if self._replicator:
             self._replicator.opening(entry)
         try:
@@ -241,55 +268,55 @@
             return Refusal.FULL
         if self._tracer:
             self._tracer.submission_recorded(number)
-        self._open[number] = _Open(entry, told)
-        self._by_id[told.id] = number
+        self._open[number] = _OpenMessage(entry, submission)
+        self._by_id[submission.id] = number
         if not self.recovery.over:
             self.recovery.count(now, RecoveryCounter.FRESH)
         return number
 
-    def _submit_again(self, entry: Entry, told: Submission) -> int | Refusal:
-        """A client's call broke, here or in an earlier life, and it comes again: what was tried counts."""
+    def _submit_again(self, entry: Entry, submission: Submission) -> int | Refusal:
+        """A client repeats a call that broke off, here or in an earlier incarnation: its earlier attempts count."""
         if (entry.class_name, entry.dest, entry.key) != (
-            self._config.names.classes[told.class_index],
-            told.dest,
-            told.key,
+            self._config.names.classes[submission.class_index],
+            submission.dest,
+            submission.key,
         ):
-            return Refusal.ALREADY_ACCEPTED  # another message under its id
-        self._call_history.forget(told.id)
-        longest = to_ms(self._config.settings.classes[told.class_index].deadline)
-        entry.deadline = self._clock.now() + min(max(told.time_left, 0.0), longest)
-        entry.body = told.body
+            return Refusal.ALREADY_ACCEPTED  # a different message with the same id
+        self._call_history.forget(submission.id)
+        max_deadline_ms = to_ms(self._config.settings.classes[submission.class_index].deadline)
+        entry.deadline = self._clock.now() + min(max(submission.time_left, 0.0), max_deadline_ms)
+        entry.body = submission.body
         if self._tracer:
-            self._tracer.submission_received(entry, told.headers, self._clock.now(), True)
+            self._tracer.submission_received(entry, submission.headers, self._clock.now(), True)
             self._tracer.submission_recorded(entry.number)
-        self._open[entry.number] = _Open(entry, told)
-        self._by_id[told.id] = entry.number
+        self._open[entry.number] = _OpenMessage(entry, submission)
+        self._by_id[submission.id] = entry.number
         return entry.number
 
-    def accept(self, number: int, told: Submission) -> None:
-        """The client knows that its message is taken on: the decisions may have it."""
+    def accept(self, number: int, submission: Submission) -> None:
+        """The client knows that its message is accepted: pass it to the decision engine."""
         message = self._open.get(number)
         if message and not message.accepted:
             message.accepted = True
             if self._tracer:
                 self._tracer.accepted(number)
-            left = to_micros(message.entry.deadline - self._clock.now())
+            time_left_us = to_micros(message.entry.deadline - self._clock.now())
             self.feed(
                 i.Arrived(
                     number,
-                    told.class_index,
-                    told.dest,
-                    max(0, left),
-                    handed_in_again=told.handed_in_again,
-                    from_dead_courier=told.from_dead_relay,
-                    earlier=_earlier(message.entry),
-                    protocol=told.protocol,
+                    submission.class_index,
+                    submission.dest,
+                    max(0, time_left_us),
+                    handed_in_again=submission.handed_in_again,
+                    from_dead_courier=submission.from_dead_relay,
+                    earlier=_earlier_attempts(message.entry),
+                    protocol=submission.protocol,
                 )
             )
 
     def cancel(self, number: int) -> None:
-        """The client of an open call has given it up: nothing is answered any more. What was tried is remembered as
-        long as it matters, and an attempt that is out is known until its own end."""
+        """The client of an open call has cancelled it: no reply is sent. Its attempts are remembered while they may
+        matter to a repeated call, and an attempt in progress stays tracked until it settles."""
         message = self._open.get(number)
         if message is None or message.withdrawn:
             return
@@ -300,32 +327,32 @@
             self._remember(message.entry)
 
     def _remember(self, entry: Entry) -> None:
-        """A call is over without a delivery. As long as its effects may matter its client may come again and is told
-        what is true; a call that surely never ran is forgotten at once."""
-        window = 0.0
+        """Store a call that ended without a delivery. While its effects may matter, a repeat of it by the client is
+        judged by these attempts; a call that certainly never ran is forgotten at once."""
+        window_ms = 0.0
         if entry.class_name in self._config.names.classes:
             cls = self._config.settings.classes[self._config.names.classes.index(entry.class_name)]
-            window = to_ms(max(cls.window, 0))
+            window_ms = to_ms(max(cls.window, 0))
         if self._tracer:
             self._tracer.closed(entry.number)
-        for number in self._call_history.remember(entry, window, self._clock.now()):
-            self._closed(number)
+        for number in self._call_history.remember(entry, window_ms, self._clock.now()):
+            self._record_closed(number)
 
     def deliver_by(self, protocol: int, delivery: Delivery) -> None:
-        """Calls in this protocol go through that delivery; before `run`."""
+        """Register the delivery for calls of a protocol. Must be called before `run`."""
         self._deliveries[protocol] = delivery
 
     def withdraw(self, number: int) -> None:
-        """The client left before it was told: nothing is owed, and it may hand the message in elsewhere."""
+        """The client disconnected before the response: the message is dropped; the client may submit it elsewhere."""
         message = self._open.get(number)
         if message and not message.accepted:
             self._forget(number)
             if self._tracer:
                 self._tracer.withdrawn(number)
-            self._closed(number)
+            self._record_closed(number)
 
     def feed(self, *events: i.Event) -> None:
-        """Tell the decisions what was seen, and do what they answer."""
+        """Pass events to the decision engine and carry out the actions that it returns."""
         self._events.extend(events)
         if self._feeding:
             return
@@ -336,44 +363,44 @@
                 self._events.clear()
                 for action in self._decide(batch):
                     try:
-                        self._do(action)
-                    except Exception:  # guards the actions behind it
-                        logger.exception("{} was not carried out", action)
+                        self._carry_out(action)
+                    except Exception:  # the actions after it still have to be carried out
+                        logger.exception("action failed: {}", action)
             if self._tracer:
                 self._tracer.look()
         finally:
             self._feeding = False
 
     def _decide(self, events: list[i.Event]) -> list[i.Action]:
-        before, each = self._engine.decided(), iter(events)
+        previous, remaining = self._engine.decided(), iter(events)
         try:
-            return self._engine.handle(to_micros(self._clock.now()), each)
-        except Exception:  # guards the open messages: a relay that ends can do nothing for them
-            logger.exception("the decisions broke at {}", events)
-            behind = list(each)  # the one that broke it: an outcome there would hold its slot
-            self._events.extendleft(reversed(behind if len(behind) < len(events) else behind[1:]))
-            # What they had decided they count on: a call that is not made would hold its slot for ever.
+            return self._engine.handle(to_micros(self._clock.now()), remaining)
+        except Exception:  # a relay that exits here could do nothing more for its open messages
+            logger.exception("the decision engine failed on {}", events)
+            unhandled = list(remaining)  # not the one that failed; a lost outcome would hold its slot
+            self._events.extendleft(reversed(unhandled if len(unhandled) < len(events) else unhandled[1:]))
+            # The engine counts on the actions decided so far: a call that is never made would hold its slot for ever.
             decided = self._engine.decided()
-            return [] if decided is before else decided
+            return [] if decided is previous else decided
 
     async def _save_state_periodically(self) -> None:
-        """Tell how the return goes, and store what the next life had better know."""
-        unread = 0  # notes, as last logged
+        """Log the progress of the recovery, and store the state for the next incarnation when it is due."""
+        logged_unread = 0
         while True:
-            await anyio.sleep(_KEEP_S)
+            await anyio.sleep(_STATE_CHECK_INTERVAL_S)
             if not self.recovery.reported:
                 self._log_recovery()
-            if self._engine.limit_updates.unread > _UNREAD_GROWS * unread:
-                unread = self._engine.limit_updates.unread
-                logger.bind(event="notes.unread", count=unread).warning(
-                    "{} notes from other relays could not be read and were left out", unread
+            if self._engine.limit_updates.unread > _UNREAD_LOG_FACTOR * logged_unread:
+                logged_unread = self._engine.limit_updates.unread
+                logger.bind(event="notes.unread", count=logged_unread).warning(
+                    "{} messages from other relays could not be parsed and were ignored", logged_unread
                 )
-            state_cache, news = self._state_cache, self._open or self.changed_since_saved
-            if state_cache and self.ready and news and state_cache.due(self._clock.now()):
+            state_cache, changed = self._state_cache, self._open or self.changed_since_saved
+            if state_cache and self.ready and changed and state_cache.due(self._clock.now()):
                 self.save_state()
 
     def save_state(self) -> None:
-        """Store what is known of the world now."""
+        """Store the current platform state for the next incarnation."""
         if self._state_cache and self._journal.may_act():
             self.changed_since_saved = False
             self._state_cache.save(
@@ -386,7 +413,7 @@
             )
 
     def _storable(self) -> Sequence[dict[str, Any]]:
-        """The list in discovery's form; nothing where it is too long to be stored."""
+        """The endpoint list in the format of discovery; empty if it is too long to be stored."""
         return self._directory.storable_members() if len(self._directory) <= MOST_MEMBERS else ()
 
     def _name_of(self, endpoint: int) -> str:
@@ -394,32 +421,32 @@
         return member.id if member else ""
 
     def _log_recovery(self) -> None:
-        for passed in self.recovery.new_phases(self._clock.now()):
-            facts = ", ".join(f"{count} {name}" for name, count in passed.facts.items())
-            logger.bind(event="recovery.phase", phase=passed.phase.value, after_ms=passed.after, **passed.facts).info(
-                "return: {} after {:.0f} ms{}", passed.phase.value, passed.after, f" ({facts})" if facts else ""
-            )
+        for entered in self.recovery.new_phases(self._clock.now()):
+            facts = ", ".join(f"{count} {name}" for name, count in entered.facts.items())
+            logger.bind(
+                event="recovery.phase", phase=entered.phase.value, after_ms=entered.after, **entered.facts
+            ).info("return: {} after {:.0f} ms{}", entered.phase.value, entered.after, f" ({facts})" if facts else "")
         for second, counts in self.recovery.seconds:
             logger.bind(event="recovery.second", second=second, **counts).info(
                 "return: second {}: {}", second, ", ".join(f"{count} {name}" for name, count in counts.items())
             )
         self.recovery.seconds.clear()
 
-    def _heard(self, peer: int, data: bytes) -> None:
+    def _peer_message_received(self, peer: int, data: bytes) -> None:
         self.feed(i.PeerSaid(peer, data))
 
-    def _listed(self, told: i.ListTold) -> None:
+    def _endpoint_list_updated(self, update: i.ListTold) -> None:
         self.recovery.listed(self._clock.now())
         self.changed_since_saved = True
         if self._tracer:
             self._tracer.listed()
-        self.feed(told)
-        for entry in told.entries:
+        self.feed(update)
+        for entry in update.entries:
             if entry.phase is not i.Phase.READY:
                 for delivery in self._deliveries.values():
                     delivery.close_idle(entry.endpoint)
 
-    def _do(self, action: i.Action) -> None:
+    def _carry_out(self, action: i.Action) -> None:
         match action:
             case i.Send():
                 self._send(action)
@@ -428,8 +455,8 @@
             case i.Fail(message):
                 self._end(message, End(False))
             case i.Cancel(message, attempt):
-                if (found := self._open.get(message)) and attempt in found.calls:
-                    found.calls[attempt].cancel()
+                if (open_message := self._open.get(message)) and attempt in open_message.calls:
+                    open_message.calls[attempt].cancel()
             case i.SetTimer(delay, token):
                 heapq.heappush(self._timers, (self._clock.now() + to_ms(delay), token))
                 self._timer_set.set()
@@ -440,46 +467,48 @@
                 self._peers.send(peer, data)
             case i.Log(text):
                 logger.info("decisions: {}", text)
-            case _:  # changes of the list always come unasked, and no site that runs a relay allows probes
+            case _:  # discovery pushes changes of the endpoint list by itself, and no platform allows probes
                 pass
 
     def _send(self, action: i.Send) -> None:
-        """Begin an attempt. Whatever becomes of it, it settles once: the decisions count its slot until then."""
+        """Start an attempt. It settles exactly once, whatever happens: the engine counts its slot until then."""
         message, now = self._open.get(action.message), self._clock.now()
         assert self._tasks is not None
         if message is None:
-            self._tasks.start_soon(self._not_sent, action)
+            self._tasks.start_soon(self._discard_send, action)
             return
         entry, number = message.entry, len(message.entry.attempts)
         member = self._directory.get(action.endpoint)
         attempt = Attempt(now, member.listed.zone if member else 0)
         entry.attempts.append(attempt)
-        more, marks = (
+        trace_headers, facts = (
             self._tracer.sending(entry.number, number, member, attempt.zone, now) if self._tracer else ((), None)
         )
-        alone = self._config.settings.second_copies or not message.calls
-        made = self.invariants.holds(Invariant.ONE_ATTEMPT_OUT, alone, entry.id)
-        if made and self._replicator and self._replicator.is_copied(entry.number):
-            made = self._written(message, number, action)
-        if not made:
+        no_other_out = self._config.settings.second_copies or not message.calls
+        may_start = self.invariants.holds(Invariant.ONE_ATTEMPT_OUT, no_other_out, entry.id)
+        if may_start and self._replicator and self._replicator.is_copied(entry.number):
+            may_start = self._record_attempt(message, number, action)
+        if not may_start:
             self._settled(message, number, action.endpoint, Result(i.Outcome.MOOT))
             return
         message.calls[number] = anyio.CancelScope()
-        self._tasks.start_soon(self._call, message, number, action, member, more, marks)
+        self._tasks.start_soon(self._call, message, number, action, member, trace_headers, facts)
 
-    async def _not_sent(self, action: i.Send) -> None:
-        """A message that is not here is nobody's: the decisions forget it, and have its slot back. Not in the turn that
-        brought the action, so that decisions which insist stop nothing else."""
-        logger.error("message {} is not here: it is not sent", action.message)
+    async def _discard_send(self, action: i.Send) -> None:
+        """Withdraw a message that is not open, which frees its slot. This runs in a task of its own: if the engine
+        repeats the action, it does not block other events."""
+        logger.error("message {} is not open: the attempt is not sent", action.message)
         self.feed(
             i.Withdrawn(action.message), i.Settled(action.message, action.attempt, action.endpoint, i.Outcome.MOOT, 0)
         )
 
-    def _written(self, message: _Open, number: int, action: i.Send) -> bool:
-        """An attempt's record, before its first byte; without one it is not made. Once its connection is up: before
-        that no byte can leave, and a life that ends there must not be taken for one that may have delivered. Only for
-        copied messages it comes first, since others have to hold it by then."""
-        if number in message.written:
+    def _record_attempt(self, message: _OpenMessage, number: int, action: i.Send) -> bool:
+        """Write the record of an attempt before its first byte is sent; False if the attempt must not be made.
+
+        The record is written once the connection is up: no byte can be sent before, and if the process ends there,
+        the attempt must not count as one that may have run. For replicated messages it is written before the
+        connect, because other relays have to hold it by the first byte."""
+        if number in message.recorded:
             return True
         entry, attempt = message.entry, message.entry.attempts[number]
         cls = self._config.settings.classes[self._config.names.classes.index(entry.class_name)]
@@ -493,39 +522,40 @@
         except JournalFull as err:
             logger.error("journal: {}", err)
             return False
-        message.written.add(number)
+        message.recorded.add(number)
         if not self.recovery.over:
             self.recovery.attempt_started(entry.number)
         return True
 
     async def _call(
         self,
-        message: _Open,
+        message: _OpenMessage,
         attempt: int,
         action: i.Send,
         member: Member | None,
-        more: Sequence[tuple[bytes, bytes]],
-        marks: AttemptFacts | None,
+        trace_headers: Sequence[tuple[bytes, bytes]],
+        facts: AttemptFacts | None,
     ) -> None:
         entry, result = message.entry, Result(i.Outcome.MOOT)
         if self._replicator and not await self._replicator.until_safe(
             entry.number, (to_ms(action.timeout) or 1e4) / 1e3
         ):
-            self._settled(message, attempt, action.endpoint, result)  # nobody may know of it: it was not made
+            # Other relays may lack its record, so the attempt was not made.
+            self._settled(message, attempt, action.endpoint, result)
             return
-        await self._until_disk_takes(message, attempt, action)
-        left = max(1.0, entry.deadline - self._clock.now())  # without any, `_wanted` says no
-        told = message.told
+        await self._wait_for_disk(message, attempt, action)
+        time_left_ms = max(1.0, entry.deadline - self._clock.now())  # with no time left `_wanted` is False
+        submission = message.submission
         call = Call(
             entry.id,
             entry.key,
             entry.body,
-            min(to_ms(action.timeout) or left, left),
-            more,
-            marks,
-            told.content if told else None,
+            min(to_ms(action.timeout) or time_left_ms, time_left_ms),
+            trace_headers,
+            facts,
+            submission.content if submission else None,
         )
-        delivery = self._deliveries.get(told.protocol if told else 0, self._endpoints)
+        delivery = self._deliveries.get(submission.protocol if submission else 0, self._endpoints)
         try:
             if member and member.address:
                 result = await delivery.call(
@@ -533,11 +563,11 @@
                     member.address,
                     call,
                     message.calls[attempt],
-                    lambda: self._wanted(action, member) and self._written(message, attempt, action),
+                    lambda: self._wanted(action, member) and self._record_attempt(message, attempt, action),
                 )
-        except Exception:  # guards all other messages against a fault in the handling of one
-            logger.exception("a call broke off")
-            result = Result(i.Outcome.RESET if attempt in message.written else i.Outcome.MOOT)
+        except Exception:  # a fault in one call must not affect other messages
+            logger.exception("a call failed with an unexpected error")
+            result = Result(i.Outcome.RESET if attempt in message.recorded else i.Outcome.MOOT)
         if result.wait and member:
             now = self._clock.now()
             self._waits = {route: until for route, until in self._waits.items() if until > now}
@@ -546,37 +576,40 @@
                 self._replicator.record_wait(self._route(member.listed), now + result.wait)
         self._settled(message, attempt, action.endpoint, result)
 
-    async def _until_disk_takes(self, message: _Open, attempt: int, action: i.Send) -> None:
-        """Guards the tries of messages against a disk that takes no record for a moment: the call begins once it does,
-        or ends without its record. The endpoint is not to answer for the wait."""
-        if not self._journal.refusing or attempt in message.written:
+    async def _wait_for_disk(self, message: _OpenMessage, attempt: int, action: i.Send) -> None:
+        """Wait while the disk refuses records, up to the time limit of the attempt, so that a short disk failure does
+        not use up the attempts of a message. The attempt's start time is set after the wait, so that the wait does
+        not count as latency of the endpoint."""
+        if not self._journal.refusing or attempt in message.recorded:
             return
-        until = min(self._clock.now() + (to_ms(action.timeout) or math.inf), message.entry.deadline)
-        while self._journal.refusing and self._clock.now() < until and not message.calls[attempt].cancel_called:
-            await anyio.sleep(_DISK_S)
+        deadline = min(self._clock.now() + (to_ms(action.timeout) or math.inf), message.entry.deadline)
+        while self._journal.refusing and self._clock.now() < deadline and not message.calls[attempt].cancel_called:
+            await anyio.sleep(_DISK_RETRY_INTERVAL_S)
         message.entry.attempts[attempt].sent_at = self._clock.now()
 
     def _route(self, entry: i.Listed) -> int:
-        """What shares a told wait with this endpoint; endpoints that are routes apart are below zero."""
+        """The key under which a retry-after of this endpoint is kept: its destination, or the complement of the
+        endpoint's number, below zero, for kinds whose endpoints are separate routes."""
         return ~entry.endpoint if self._config.settings.kind(entry).routes_apart else entry.dest
 
     def _wanted(self, action: i.Send, member: Member) -> bool:
-        """Whether a call may still go out, now that its connection is up. Guards against slow connects and pauses: its
-        message may be over by now, or its time, its endpoint drain, its destination have told to wait, its key be
-        forgotten, its relay be replaced."""
-        now, told = self._clock.now(), self._directory.get(action.endpoint)
+        """Whether a call may still be sent, now that its connection is up. During a slow connect or a pause of the
+        process its message may have ended or passed its deadline, the endpoint may have started to drain, the
+        destination may have sent a retry-after, the key may have been forgotten, or this relay may have been
+        replaced."""
+        now, current = self._clock.now(), self._directory.get(action.endpoint)
         message = self._open.get(action.message)
         if message is None or message.withdrawn or message.entry.deadline <= now:
             return False
-        if not self._journal.may_act():  # this process stood still, and a later life has its work
+        if not self._journal.may_act():  # a later incarnation took the folder while this process was paused
             return False
-        if self._replicator and not self._replicator.may_act(action.message):  # and another relay may have it by now
+        if self._replicator and not self._replicator.may_act(action.message):  # another relay may have taken it over
             return False
-        ready = told is not None and told.listed.phase is i.Phase.READY and told.address == member.address
-        remembered = not action.not_after or to_micros(now) < action.not_after
-        return ready and remembered and self._waits.get(self._route(member.listed), 0.0) <= now
+        ready = current is not None and current.listed.phase is i.Phase.READY and current.address == member.address
+        key_is_remembered = not action.not_after or to_micros(now) < action.not_after
+        return ready and key_is_remembered and self._waits.get(self._route(member.listed), 0.0) <= now
 
-    def _settled(self, message: _Open, attempt: int, endpoint: int, result: Result) -> None:
+    def _settled(self, message: _OpenMessage, attempt: int, endpoint: int, result: Result) -> None:
         number, now = message.entry.number, self._clock.now()
         if not self.recovery.over:
             self.recovery.answered(now, message.entry.dest)
@@ -587,46 +620,46 @@
             self._tracer.settled(number, attempt, result.outcome, result.wait, result.ended)
         if result.ended:
             self._forget(number)
-            if message.told and message.told.reply:
-                self._answer(message, result)
+            if message.submission and message.submission.reply:
+                self._send_reply(message, result)
             else:
-                self._closed(number)
+                self._record_closed(number)
         else:
             try:
                 self._journal.record_outcome(number, attempt, not result.outcome.never_ran)
             except Exception as err:  # after a restart the attempt counts as one that may have run
                 logger.error("journal: {}", err)
-            made = message.entry.attempts[attempt]
-            made.may_have_run, made.settled = not result.outcome.never_ran, True
+            settled_attempt = message.entry.attempts[attempt]
+            settled_attempt.may_have_run, settled_attempt.settled = not result.outcome.never_ran, True
             if message.withdrawn and not message.calls:
                 self._forget(number)
                 self._remember(message.entry)
-        took = to_micros(now - message.entry.attempts[attempt].sent_at)
+        duration_us = to_micros(now - message.entry.attempts[attempt].sent_at)
         settled = i.Settled(
             number,
             attempt,
             endpoint,
             result.outcome,
-            took,
+            duration_us,
             result.ended,
             to_micros(math.ceil(result.wait)),
             result.slots_taken,
             result.report,
             result.stale,
         )
-        if self._lets_go(message):
+        if self._release_if_handing_over(message):
             self.feed(i.Withdrawn(number), settled)
         else:
             self.feed(settled)
 
-    def _answer(self, message: _Open, result: Result) -> None:
-        """The delivery's end is the call's: what the endpoint answered, or a half of it that cannot be taken back."""
+    def _send_reply(self, message: _OpenMessage, result: Result) -> None:
+        """Reply with the result of the delivery: the endpoint's answer, or a failure after part of it was passed on."""
         delivered = result.outcome is i.Outcome.OK
         if message.reply:
-            how = EndKind.DELIVERED if delivered else EndKind.FAILED
-            message.reply.ended(MessageEnd(how, may_have_run=True, answer=result.answer))
+            kind = EndKind.DELIVERED if delivered else EndKind.FAILED
+            message.reply.ended(MessageEnd(kind, may_have_run=True, answer=result.answer))
         if delivered:
-            self._closed(message.entry.number)
+            self._record_closed(message.entry.number)
         else:
             self._remember(message.entry)
 
@@ -637,11 +670,11 @@
             self.recovery.count(self._clock.now(), RecoveryCounter.REFUSED, number)
         if self._tracer:
             self._tracer.ended(number, end.handed_back, end.retry_in)
-        if message.told and message.told.reply:
+        if message.submission and message.submission.reply:
             if reply := message.reply:
-                ran = any(attempt.may_have_run for attempt in message.entry.attempts)
-                how = EndKind.REFUSED if end.handed_back else EndKind.FAILED
-                reply.ended(MessageEnd(how, end.retry_in, ran))
+                may_have_run = any(attempt.may_have_run for attempt in message.entry.attempts)
+                kind = EndKind.REFUSED if end.handed_back else EndKind.FAILED
+                reply.ended(MessageEnd(kind, end.retry_in, may_have_run))
             self._remember(message.entry)
             return
         self._record_end(message.entry, end)
@@ -650,87 +683,88 @@
     def _record_end(self, entry: Entry, end: End) -> None:
         try:
             self._journal.record_end(entry.number, end)
-        except Exception as err:  # after a restart the decisions come to an end of their own
+        except Exception as err:  # after a restart the decision engine decides an end again
             logger.error("journal: {}", err)
 
     def _send_notice(self, notice: Notice) -> None:
-        if self._replicator:  # a successor that does not know of the end would come to another
+        if self._replicator:  # a successor without the record of the end could decide a different one
             self._replicator.when_safe(notice.number, lambda: self._notices.add(notice))
         else:
             self._notices.add(notice)
 
     async def _write_pending(self) -> None:
-        """Try again what the disk refused, and tell the ends that waited for it. Asleep while it refuses nothing."""
+        """Retry the records that the disk refused, and release the ends that wait for them. Sleeps while none is
+        refused."""
         while True:
             if not (self._journal.refusing or len(self._pending_ends)):
                 await self._disk_refused.wait()
-            await anyio.sleep(_DISK_S)
+            await anyio.sleep(_DISK_RETRY_INTERVAL_S)
             self._journal.write_pending()
             self._pending_ends.release()
 
-    def _closed(self, number: int) -> None:
+    def _record_closed(self, number: int) -> None:
         try:
             self._journal.record_closed(number)
-        except Exception as err:  # after a restart the message is taken up again, which does no harm
+        except Exception as err:  # after a restart the message is recovered again, which does no harm
             logger.error("journal: {}", err)
         if self._tracer:
             self._tracer.closed(number)
 
-    def _forget(self, number: int) -> _Open | None:
+    def _forget(self, number: int) -> _OpenMessage | None:
         message = self._open.pop(number, None)
         if message:
             self._by_id.pop(message.entry.id, None)
         return message
 
-    def _read_known(self) -> None:
-        """The list of the configuration, or a newer one that an earlier life stored."""
+    def _load_endpoint_list(self) -> None:
+        """Load the endpoint list of the configuration, or a newer one that an earlier incarnation stored."""
         lists = [(self._config.known, "the configuration")]
         if state_cache := self._state_cache:
             revision = self._config.known.get("revision", -1) if self._config.known else -1
             state_cache.read(self._clock.now(), str(self._config.discovery), revision if type(revision) is int else -1)
-            if (told := state_cache.validated) and told.members:
-                stored = {"revision": told.revision, "complete": True, "members": list(told.members)}
-                lists.insert(0, (stored, "an earlier life"))
-        for known, whose in lists:
-            if not known:
+            if (cached_state := state_cache.validated) and cached_state.members:
+                stored = {"revision": cached_state.revision, "complete": True, "members": list(cached_state.members)}
+                lists.insert(0, (stored, "an earlier run"))
+        for stored_list, source in lists:
+            if not stored_list:
                 continue
             try:
-                update = self._directory.read(known)
+                update = self._directory.read(stored_list)
                 self.feed(update.event(cached=True))
                 if update.complete:
                     self._discovery.has(update.version)
                 return
             except ListError as err:
-                logger.warning("the list of {} is left out: {}", whose, err)
+                logger.warning("the endpoint list of {} is ignored: {}", source, err)
 
     def _recover(self) -> None:
-        """Tell the decisions what an earlier life left open, and send the notices that it still owes."""
+        """Pass the messages that an earlier incarnation left open to the engine, and send its pending notices."""
         now, entries = self._clock.now(), list(self._journal.entries.values())
         if state_cache := self._state_cache:
             state_cache.correct_entries(entries)
-            if recalled := state_cache.restored_state(self._directory.number, now):
-                self.feed(recalled)
-        self._log_damage()
-        if self._replicator:  # whose those are the store has to say
-            self._covered = {entry.number: entry for entry in entries if self._replicator.covers(entry)}
-            entries = [entry for entry in entries if entry.number not in self._covered]
+            if restored_state := state_cache.restored_state(self._directory.number, now):
+                self.feed(restored_state)
+        self._log_damaged_regions()
+        if self._replicator:  # the coordination store decides who owns these
+            self._awaiting_ownership = {entry.number: entry for entry in entries if self._replicator.covers(entry)}
+            entries = [entry for entry in entries if entry.number not in self._awaiting_ownership]
         self._journal.entries.clear()
         arrived = self._adopted_events(entries)
         if entries:
             logger.info("from the journal: {} messages, {} notices", len(arrived), len(self._notices))
         self.recovery.folder(
             now,
-            {told.message: told.dest for told in arrived},
+            {event.message: event.dest for event in arrived},
             len(self._journal.damage),
-            [told.message for told in arrived if not any(was.may_have_run for was in told.earlier)],
+            [event.message for event in arrived if not any(attempt.may_have_run for attempt in event.earlier)],
         )
         self.feed(*arrived)
 
     def _adopted_events(self, entries: Sequence[Entry]) -> list[i.Arrived]:
-        """Owe these messages their ends; what the decisions are to be told of them."""
+        """Take responsibility for these messages; returns the events for the decision engine."""
         now, arrived = self._clock.now(), []
         for entry in entries:
-            self._doubt(entry)
+            self._resolve_indeterminate(entry)
             if entry.call:
                 self._remember(entry)
                 continue
@@ -739,7 +773,7 @@
             if entry.end:
                 self._pending_ends.add(entry, entry.end)
             else:
-                self._open[entry.number] = _Open(entry, accepted=True)
+                self._open[entry.number] = _OpenMessage(entry, accepted=True)
                 self._by_id[entry.id] = entry.number
                 arrived.append(
                     i.Arrived(
@@ -747,56 +781,57 @@
                         self._config.names.classes.index(entry.class_name),
                         entry.dest,
                         max(0, to_micros(entry.deadline - now)),
-                        earlier=_earlier(entry),
+                        earlier=_earlier_attempts(entry),
                         restored=True,
                     )
                 )
         return arrived
 
-    # Copies of this relay's work, and work of others.
+    # Replicas of this relay's messages, and messages of other relays.
 
     def _may_end(self) -> bool:
         return self._journal.may_act() and (self._replicator is None or self._replicator.may_end())
 
     async def _begin_replication(self) -> None:
-        """Once the store has told whose the folder's copied messages are, go on with those that are this relay's."""
+        """Ask the store who owns the replicated messages of the folder; resume those that are still this relay's."""
         assert self._replicator
-        lost = await self._replicator.begin(self._covered)
+        lost = await self._replicator.begin(self._awaiting_ownership)
         for number in lost:
-            self._covered.pop(number)
-            self._closed(number)
-        for entry in self._covered.values():
+            self._awaiting_ownership.pop(number)
+            self._record_closed(number)
+        for entry in self._awaiting_ownership.values():
             if entry.origin and not entry.origin.confirmed:
-                self._confirmed(entry)
+                self._record_confirmed(entry)
             self._replicator.opening(entry)
-        arrived = self._adopted_events(list(self._covered.values()))
-        if self._covered:
-            logger.info("from the journal, once the fleet was asked: {} messages", len(arrived))
-        self._covered.clear()
-        self._begun.set()
+        arrived = self._adopted_events(list(self._awaiting_ownership.values()))
+        if self._awaiting_ownership:
+            logger.info("from the journal, after the ownership check: {} messages", len(arrived))
+        self._awaiting_ownership.clear()
+        self._replication_started.set()
         self.feed(*arrived)
 
-    def _confirmed(self, entry: Entry) -> None:
+    def _record_confirmed(self, entry: Entry) -> None:
         assert entry.origin
         entry.origin = replace(entry.origin, confirmed=True)
         try:
             self._journal.record_origin(entry.number, entry.origin)
-        except JournalFull as err:  # a later life asks the store again
+        except JournalFull as err:  # a later incarnation asks the store again
             logger.error("journal: {}", err)
 
     def adopt(self, entries: Sequence[Entry]) -> list[int]:
-        """Journal messages of another relay under numbers of this one's; nothing is done with them yet."""
+        """Journal messages of another relay under numbers of this one, without processing them yet; returns the
+        numbers."""
         assert self._replicator
         numbers = []
-        for told in entries:
-            if told.id in self._by_id or told.class_name not in self._config.names.classes:
-                logger.warning("message {} of another relay is left out: it is here already, or of no class", told.id)
+        for foreign in entries:
+            if foreign.id in self._by_id or foreign.class_name not in self._config.names.classes:
+                logger.warning("message {} of another relay is ignored: a duplicate or of an unknown class", foreign.id)
                 continue
-            entry = replace(told, number=self._journal.next_number)
+            entry = replace(foreign, number=self._journal.next_number)
             self._replicator.opening(entry)
             try:
                 self._journal.record_complete(entry)
-            except JournalFull as err:  # it is owed its end all the same, and this process knows it
+            except JournalFull as err:  # this process still delivers it, from memory
                 logger.error("journal: {}", err)
             self._adopting[entry.number] = entry
             self._by_id[entry.id] = entry.number
@@ -804,10 +839,11 @@
         return numbers
 
     def confirm(self, numbers: Sequence[int], waits: Mapping[int, float]) -> None:
-        """They are this relay's now: they enter as restored ones do, behind the waits that their owner was told."""
+        """Ownership is confirmed: process the messages as restored ones. `waits`: the retry-after times that their
+        earlier owner received, by route, in milliseconds of this relay's clock; they are applied first."""
         entries = [self._adopting.pop(number) for number in numbers]
         for entry in entries:
-            self._confirmed(entry)
+            self._record_confirmed(entry)
         routes = []
         for route, until in waits.items():
             self._waits[route] = max(self._waits.get(route, 0.0), until)
@@ -816,60 +852,61 @@
         if routes:
             self.feed(i.RestoredState(tuple(routes)))
         for entry in entries:
-            self._enter(entry, self._out_until(entry) - self._clock.now())
+            self._start_adopted(entry, self._out_until(entry) - self._clock.now())
 
     def _out_until(self, entry: Entry) -> float:
-        """Guards against two attempts at once: the owner may stand still with the last one on the wire. What no class
-        lets go again waits for nothing, a keyed message no longer than its key is remembered: then it is given up."""
+        """When the last attempt of the earlier owner is over, in milliseconds. This prevents two attempts at once: the
+        owner may be paused with an attempt on the wire. A message that is not retried does not wait, and a keyed
+        one waits no longer than its key is remembered: then it is given up."""
         cls = self._config.settings.classes[self._config.names.classes.index(entry.class_name)]
-        until = max((was.until for was in entry.attempts if not was.settled), default=0.0)
+        until = max((attempt.until for attempt in entry.attempts if not attempt.settled), default=0.0)
         if entry.end or cls.effect is i.Effect.UNSAFE:
             return 0.0
-        ran = [was.sent_at for was in entry.attempts if was.may_have_run]
-        if cls.effect is i.Effect.KEYED and ran:
-            until = min(until, min(ran) + to_ms(cls.window))
+        possible_runs = [attempt.sent_at for attempt in entry.attempts if attempt.may_have_run]
+        if cls.effect is i.Effect.KEYED and possible_runs:
+            until = min(until, min(possible_runs) + to_ms(cls.window))
         return min(until, entry.deadline)
 
-    def _enter(self, entry: Entry, after_ms: float) -> None:
-        """A message that was taken over is told to the decisions, at once or later."""
+    def _start_adopted(self, entry: Entry, after_ms: float) -> None:
+        """Pass a message that was taken over to the decision engine, at once or after a delay."""
         if after_ms <= 0:
             self.feed(*self._adopted_events([entry]))
             return
 
-        async def later() -> None:
+        async def start_later() -> None:
             await anyio.sleep(after_ms / 1e3)
             self.feed(*self._adopted_events([entry]))
 
         assert self._tasks
-        self._tasks.start_soon(later)
+        self._tasks.start_soon(start_later)
 
     def _dest_of(self, endpoint: int) -> int:
         member = self._directory.get(endpoint)
         return member.listed.dest if member else -1
 
     def drop(self, numbers: Sequence[int]) -> None:
-        """Another relay has them after all."""
+        """Another relay owns these messages after all."""
         for number in numbers:
             if entry := self._adopting.pop(number, None):
                 self._by_id.pop(entry.id, None)
-                self._closed(number)
+                self._record_closed(number)
 
     def release_copied(self) -> int:
-        """Begin nothing more for copied messages; how many have an attempt out still."""
+        """Start no more attempts for replicated messages; returns how many still have one in progress."""
         self.letting_go = True
-        out = 0
+        attempts_out = 0
         for number, message in list(self._open.items()):
             if not (self._replicator and self._replicator.is_copied(number)):
                 continue
             if message.calls:
-                out += 1
+                attempts_out += 1
             else:
                 self._forget(number)
                 self.feed(i.Withdrawn(number))
-        return out
+        return attempts_out
 
-    def _lets_go(self, message: _Open) -> bool:
-        """Its attempt is over and it is not: another relay goes on with it."""
+    def _release_if_handing_over(self, message: _OpenMessage) -> bool:
+        """Stop processing a message whose attempt settled, if another relay takes it over; True if so."""
         number = message.entry.number
         if self.letting_go and self._replicator and self._replicator.is_copied(number) and not message.calls:
             self._forget(number)
@@ -877,14 +914,16 @@
         return False
 
     async def replicated(self, number: int) -> bool:
-        """Before a client is told that its message is taken on: whether it is copied as its class asks."""
-        return self._replicator is None or await self._replicator.until_accepted(number, _COPIED_S)
+        """Wait until a message is replicated as its class requires, before its client learns that it is accepted; False
+        if that takes too long."""
+        return self._replicator is None or await self._replicator.until_accepted(number, _REPLICATION_TIMEOUT_S)
 
     def awaits_replication(self, number: int) -> bool:
         return self._replicator is not None and not self._replicator.may_be_accepted(number)
 
-    def _doubt(self, entry: Entry) -> None:
-        """What is missing of an earlier life's records may have run; what cannot be delivered is ended."""
+    def _resolve_indeterminate(self, entry: Entry) -> None:
+        """Add the attempt that may be missing from the records of an earlier incarnation, and end a message that cannot
+        be delivered."""
         if entry.class_name not in self._config.names.classes:
             entry.end = entry.end or End(False)
             return
@@ -896,35 +935,41 @@
             elif (missing := indeterminate.missing_attempt(entry, cls)) is not None:
                 entry.attempts.append(missing)
                 self._journal.record_attempt(entry.number, len(entry.attempts) - 1, missing.sent_at, missing.zone)
-        except JournalFull as err:  # the next life comes to the same
+        except JournalFull as err:  # the next incarnation comes to the same result
             logger.error("journal: {}", err)
 
-    def _log_damage(self) -> None:
-        """Each damaged stretch by segment and offset, the first few one by one, and what it means for messages."""
+    def _log_damaged_regions(self) -> None:
+        """Log the first damaged regions of the journal by segment and offset, and how many messages are affected."""
         journal = self._journal
         if not journal.damage and not journal.orphans:
             return
-        for one in journal.damage[:_TOLD_DAMAGES]:
+        for region in journal.damage[:_MAX_LOGGED_DAMAGED_REGIONS]:
             logger.bind(
-                event="recovery.damage", segment=one.segment, offset=one.offset, length=one.length, mended=one.repaired
-            ).warning("journal: {} at {}: {} bytes are damaged: {}", one.segment, one.offset, one.length, one.what)
+                event="recovery.damage",
+                segment=region.segment,
+                offset=region.offset,
+                length=region.length,
+                mended=region.repaired,
+            ).warning(
+                "journal: {} at {}: {} bytes are damaged: {}", region.segment, region.offset, region.length, region.what
+            )
         entries = journal.entries.values()
-        told = {
+        counts = {
             "stretches": len(journal.damage),
-            "mended": sum(one.repaired for one in journal.damage),
+            "mended": sum(region.repaired for region in journal.damage),
             "doubtful": sum(entry.doubtful for entry in entries),
-            "bodiless": sum(e.bodiless for e in entries),
+            "bodiless": sum(open_entry.bodiless for open_entry in entries),
             "orphans": journal.orphans,
         }
-        logger.bind(event="recovery.damaged", **told).error(
-            "journal: {stretches} damaged stretches, {mended} of them mended; of {doubtful} open messages an attempt "
-            "or an end may be missing: each goes on as its class allows; {bodiless} have lost their bodies and are "
-            "ended; {orphans} are known by later records only, and nobody can be told of them",
-            **told,
+        logger.bind(event="recovery.damaged", **counts).error(
+            "journal: {stretches} damaged regions, {mended} of them repaired; {doubtful} open messages may lack the "
+            "record of an attempt or of their end and are retried only as their class allows; {bodiless} lost their "
+            "bodies and are ended; {orphans} are known from later records only, so that no notice can be sent for them",
+            **counts,
         )
 
-    async def _ring(self) -> None:
-        """Wake the decisions when a timer of theirs is due."""
+    async def _run_timers(self) -> None:
+        """Pass each timer of the decision engine to it when due."""
         while True:
             self._timer_set = anyio.Event()
             wait = (self._timers[0][0] - self._clock.now()) / 1e3 if self._timers else math.inf
@@ -936,16 +981,18 @@
                 await anyio.sleep(0)
 
     async def _end_overdue(self) -> None:
-        """Guards messages that a fault in the decisions has lost: each is owed its end. The decisions end a
-        message before its time is up, so this finds none unless they broke."""
+        """End messages that a fault in the decision engine has lost, so that each still gets its end. The engine ends a
+        message before its deadline, so this finds none unless the engine failed."""
         while True:
-            await anyio.sleep(_OVERDUE_MS / 1e3)
+            await anyio.sleep(_OVERDUE_GRACE_MS / 1e3)
             for number in self._call_history.expired(self._clock.now()):
-                self._closed(number)
-            overdue = self._clock.now() - _OVERDUE_MS
-            for number in [n for n, open_ in self._open.items() if open_.entry.deadline < overdue]:
-                if late := self._open.get(number):  # after a pause, the end of one lets the decisions end the others
-                    logger.error("message {} was overdue and is given up", late.entry.id)
+                self._record_closed(number)
+            overdue = self._clock.now() - _OVERDUE_GRACE_MS
+            for number in [
+                open_number for open_number, candidate in self._open.items() if candidate.entry.deadline < overdue
+            ]:
+                if message := self._open.get(number):  # ending one may let the engine end others
+                    logger.error("message {} is past its deadline and is given up", message.entry.id)
                     self.feed(i.Withdrawn(number))
                     self._end(number, End(False))
 
--- a/calicohitch/service.py
+++ b/calicohitch/service.py
@@ -1,4 +1,4 @@
-"""Runs one relay with its server until the platform ends it."""
+"""Runs one relay with its intakes until the process is told to stop."""
 
 from __future__ import annotations
 
@@ -34,11 +34,12 @@
     from .failover.manager import FailoverManager
     from .tracing.tracer import Tracer
 
-_MB = 1_000_000  # the platform counts disk in these
-_HAND_OVER_S = 2.0  # for the attempts that are out, and again for what is to be copied
-_AGAIN_S = 0.05  # between two tries of what may work a little later
-_RELOAD_PAUSES_S = (0.05, 0.1, 0.2, 0.4, 0.8, 1.5)  # a new configuration counts 4 s after its signal
-_SETTLE_S = 0.5  # clients keep coming for a moment after SIGTERM, and are told to go elsewhere
+_BYTES_PER_MB = 1_000_000  # the platform sets `disk_mb` in decimal megabytes
+_HANDOVER_TIMEOUT_S = 2.0  # for the attempts in progress, and again for the messages to replicate
+_RETRY_INTERVAL_S = 0.05  # after a temporary failure to read the journal or to listen
+# The platform expects a new configuration to apply 4 s after SIGHUP.
+_RELOAD_RETRY_PAUSES_S = (0.05, 0.1, 0.2, 0.4, 0.8, 1.5)
+_REFUSAL_PERIOD_S = 0.5  # after SIGTERM new submissions still arrive for a moment, and are refused with a reply
 
 
 async def serve(
@@ -47,20 +48,20 @@
     clock: Clock | None = None,
     operator: Operator | None = None,
 ) -> None:
-    """Serve until SIGTERM or SIGINT, then go on with what is open until that is over too. On SIGHUP `reload`
-    is asked for the configuration as it is then. What `operator` does not name stays off. FolderProblem where the
-    folder cannot be used, is another process's, or became a later life's."""
+    """Serve until SIGTERM or SIGINT, then until the open messages have ended. On SIGHUP `reload` is called for the
+    current configuration. Features that `operator` does not name stay off. Raises FolderProblem if the folder cannot be
+    used, belongs to another process, or was taken over by a later incarnation."""
     clock, operator = clock or Clock(), operator or Operator()
-    up_at = clock.now()
-    async with handling_signals() as told:
-        with anyio.CancelScope() as starting:  # nothing is owed before the folder is this life's
-            told.on_stop = starting.cancel
+    started_at = clock.now()
+    async with handling_signals() as signals:
+        with anyio.CancelScope() as startup_scope:  # nothing needs draining before the lease is held
+            signals.on_stop = startup_scope.cancel
             lease = await acquire_folder(config.state, operator.recovery.folder_wait_ms / 1e3)
-        told.on_stop = lambda: None
-        if starting.cancelled_caught:
+        signals.on_stop = lambda: None
+        if startup_scope.cancelled_caught:
             return
         try:
-            await _serve(config, reload, clock, operator, lease, up_at, told)
+            await _serve(config, reload, clock, operator, lease, started_at, signals)
         finally:
             lease.close()
     if lease.lost:
@@ -73,19 +74,19 @@
     clock: Clock,
     operator: Operator,
     lease: FolderLease,
-    up_at: float,
-    told: SignalState,
+    started_at: float,
+    signals: SignalState,
 ) -> None:
-    """One life, on the folder that it has claimed."""
+    """One incarnation, on the folder whose lease it holds."""
     logger.bind(event="claim.taken", life=lease.incarnation).info(
         "life {} has the folder {}", lease.incarnation, config.state
     )
-    journal = await _journal(config, clock, lease, operator.recovery.folder_wait_ms / 1e3)
+    journal = await _open_journal(config, clock, lease, operator.recovery.folder_wait_ms / 1e3)
     tracer = _tracer(config, clock, operator)
     grpc = operator.grpc
     failover = _failover_manager(config, clock, operator, lease, journal)
     state_cache = StateCache(config.state, lease.incarnation, config.names.classes, operator.recovery.waits_outlast)
-    if grpc:  # its connections, on both sides, take part in the one limit of descriptors
+    if grpc:  # client and endpoint connections of gRPC count against the common limit of descriptors
         relay = Relay(
             config,
             clock,
@@ -94,37 +95,39 @@
             grpc.speaks,
             2 * (config.limits.sockets // 8),
             state_cache=state_cache,
-            up_at=up_at,
+            started_at=started_at,
             replicator=failover,
         )
     else:
-        relay = Relay(config, clock, journal, tracer, state_cache=state_cache, up_at=up_at, replicator=failover)
+        relay = Relay(
+            config, clock, journal, tracer, state_cache=state_cache, started_at=started_at, replicator=failover
+        )
     admission = operator.clients or AdmissionSettings()
     wait_s = operator.recovery.folder_wait_ms / 1e3
-    with await _listening(config.listen, admission.backlog, wait_s) as listener, ExitStack() as stack:
-        logger.bind(event="relay.listening").info("{} listens at {}", config.name, config.listen)
+    with await _open_listener(config.listen, admission.backlog, wait_s) as listener, ExitStack() as stack:
+        logger.bind(event="relay.listening").info("{} is listening on {}", config.name, config.listen)
         clients = Clients(relay, config.names.classes, listener, admission, config.seed)
-        calls = _grpc(relay, grpc, config, clock, stack) if grpc else None
+        grpc_intake = _grpc_intake(relay, grpc, config, clock, stack) if grpc else None
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(_hold, lease, tasks.cancel_scope)
+                tasks.start_soon(_keep_lease, lease, tasks.cancel_scope)
                 if failover:
                     failover.on_ended = tasks.cancel_scope.cancel
                 tasks.start_soon(relay.run)
                 tasks.start_soon(clients.run)
-                if calls:
-                    tasks.start_soon(calls.run)
-                told.set_reload_handler(_Reloads(relay, reload, tasks).signalled)
-                await told.stop.wait()
-                logger.bind(event="relay.stopping").info("stopping: new messages are refused, open ones go on")
+                if grpc_intake:
+                    tasks.start_soon(grpc_intake.run)
+                signals.set_reload_handler(_ConfigReloader(relay, reload, tasks).on_signal)
+                await signals.stop.wait()
+                logger.bind(event="relay.stopping").info("stopping: new messages are refused, open ones are completed")
                 relay.stopping = True
-                if calls:
-                    await calls.drain()
-                await anyio.sleep(_SETTLE_S)
+                if grpc_intake:
+                    await grpc_intake.drain()
+                await anyio.sleep(_REFUSAL_PERIOD_S)
                 clients.close_kept()
                 if failover and operator.fleet and operator.fleet.hand_over:
-                    await _handed_over(relay, failover)
-                while clients.answering or not relay.idle or calls and calls.open_calls:
+                    await _hand_over(relay, failover)
+                while clients.answering or not relay.idle or grpc_intake and grpc_intake.open_calls:
                     await anyio.sleep(0.05)
                 await clients.finish()
                 if tracer:
@@ -142,67 +145,69 @@
         raise failover.ended
 
 
-async def _journal(config: Config, clock: Clock, lease: FolderLease, wait_s: float) -> Journal:
-    """The journal, read whole. What cannot be read for a moment is tried again, so long at most, and then left out."""
-    until = anyio.current_time() + wait_s
+async def _open_journal(config: Config, clock: Clock, lease: FolderLease, wait_s: float) -> Journal:
+    """Read and open the journal. Files that temporarily cannot be read are retried for up to `wait_s`, then skipped."""
+    give_up_at = anyio.current_time() + wait_s
     while True:
-        last = anyio.current_time() >= until
+        is_last_try = anyio.current_time() >= give_up_at
         try:
             return Journal(
                 config.state,
-                config.limits.disk_mb * _MB,
+                config.limits.disk_mb * _BYTES_PER_MB,
                 lease.incarnation,
                 lease.check,
                 clocks.now(clock.now()),
-                complete=not last,
+                complete=not is_last_try,
             )
         except OSError as err:
             problem = unusable(config.state, err)
-            if last or not isinstance(problem, FolderFailing):
+            if is_last_try or not isinstance(problem, FolderFailing):
                 raise problem from err
-            logger.bind(event="journal.waiting").warning("the journal cannot be read yet: {}", err)
-        await anyio.sleep(_AGAIN_S)
+            logger.bind(event="journal.waiting").warning("cannot read the journal yet: {}", err)
+        await anyio.sleep(_RETRY_INTERVAL_S)
 
 
-async def _listening(address: Address, backlog: int, wait_s: float) -> socket.socket:
-    """The listener. Where a process that is ending still has the address, or this machine lacks something for a moment,
-    it is tried again, so long at most."""
-    until = anyio.current_time() + wait_s
+async def _open_listener(address: Address, backlog: int, wait_s: float) -> socket.socket:
+    """Open the listener. If a terminating process still holds the address, or this machine temporarily lacks a
+    resource, this is retried for up to `wait_s`."""
+    give_up_at = anyio.current_time() + wait_s
     while True:
         try:
             return listen(address, backlog)
         except OSError as err:
-            passing = err.errno == errno.EADDRINUSE or of_this_machine(err, Step.SOCKET)
-            if not passing or anyio.current_time() >= until:
+            is_temporary = err.errno == errno.EADDRINUSE or of_this_machine(err, Step.SOCKET)
+            if not is_temporary or anyio.current_time() >= give_up_at:
                 raise
-            logger.bind(event="relay.waiting").warning("cannot listen at {} yet: {}", address, err)
-        await anyio.sleep(_AGAIN_S)
+            logger.bind(event="relay.waiting").warning("cannot listen on {} yet: {}", address, err)
+        await anyio.sleep(_RETRY_INTERVAL_S)
 
 
-async def _handed_over(relay: Relay, failover: FailoverManager) -> None:
-    """Give copied work to those who hold copies, before the lease goes: what is out ends first, for a while."""
+async def _hand_over(relay: Relay, failover: FailoverManager) -> None:
+    """Hand replicated messages over to the relays that hold the replicas, before the lease is released. Attempts in
+    progress may finish first, up to the time limit."""
     failover.stop_accepting()
-    with anyio.move_on_after(_HAND_OVER_S):
+    with anyio.move_on_after(_HANDOVER_TIMEOUT_S):
         while relay.release_copied():
             await anyio.sleep(0.02)
-    await failover.hand_over(_HAND_OVER_S)
+    await failover.hand_over(_HANDOVER_TIMEOUT_S)
 
 
-async def _hold(lease: FolderLease, everything: anyio.CancelScope) -> None:
-    """Keep the claim on the folder; once a later life has it, end at once and leave all that is open to that one."""
+async def _keep_lease(lease: FolderLease, service_scope: anyio.CancelScope) -> None:
+    """Renew the lease of the folder. Once a later incarnation holds it, stop at once: that one recovers the open
+    messages."""
 
-    def end() -> None:
+    def on_lost() -> None:
         logger.bind(event="claim.lost", life=lease.incarnation).error("{}", lease.lost)
-        everything.cancel()
+        service_scope.cancel()
 
-    lease.on_lost = end
+    lease.on_lost = on_lost
     while not lease.lost:
         lease.renew()
         await anyio.sleep(RENEW_S)
 
 
-def _grpc(relay: Relay, settings: GrpcSettings, config: Config, clock: Clock, stack: ExitStack) -> GrpcIntake:
-    """The gRPC server before the relay, and the calls behind it."""
+def _grpc_intake(relay: Relay, settings: GrpcSettings, config: Config, clock: Clock, stack: ExitStack) -> GrpcIntake:
+    """The gRPC server, whose delivery is registered with the relay."""
     from .grpc.delivery import GrpcDelivery
     from .grpc.intake import PROTOCOL, GrpcIntake
 
@@ -218,7 +223,7 @@
         ),
     )
     listener = stack.enter_context(listen(settings.listen))
-    logger.bind(event="grpc.listening").info("{} takes gRPC calls at {}", config.name, settings.listen)
+    logger.bind(event="grpc.listening").info("{} is listening for gRPC calls on {}", config.name, settings.listen)
     settings = replace(settings, connections=min(settings.connections, config.limits.sockets // 8))
     return GrpcIntake(relay, settings, config.settings.classes, listener, clock)
 
@@ -226,16 +231,16 @@
 def _failover_manager(
     config: Config, clock: Clock, operator: Operator, lease: FolderLease, journal: Journal
 ) -> FailoverManager | None:
-    """Copies and the fleet, where the operators' file has it."""
+    """Replication and failover, if the operator file configures a fleet."""
     if operator.fleet is None:
         return None
     from .fleet.etcd_store import EtcdStore
     from .failover.manager import FailoverManager
 
     settings = operator.fleet
-    if settings.hold_bytes > config.limits.disk_mb * _MB * (1 - DISK_SHARE):
+    if settings.hold_bytes > config.limits.disk_mb * _BYTES_PER_MB * (1 - DISK_SHARE):
         raise FolderProblem(
-            f"copies hold-mb={settings.hold_bytes / _MB:g} does not fit beside the journal on a disk "
+            f"copies hold-mb={settings.hold_bytes / _BYTES_PER_MB:g} does not fit beside the journal on a disk "
             f"of {config.limits.disk_mb:g} MB: lower it, or raise limits.disk_mb"
         )
     store = EtcdStore(settings.store, settings.store_timeout_ms)
@@ -254,32 +259,32 @@
     )
 
 
-class _Reloads:
-    """Follows the configuration as it is at each SIGHUP, also while the relay is stopping, since its notices have to
-    arrive. Guards a relay against a file that cannot be read in that moment, as whoever writes it may be in the middle
-    and sends no second signal: it is read again for a while. What stays wrong leaves the old one in force."""
+class _ConfigReloader:
+    """Applies the current configuration at each SIGHUP, also while the relay is stopping, because its notices still
+    have to reach the platform. A file that cannot be read then may be half written, and no second signal follows, so it
+    is read again a few times. If it stays invalid, the old configuration stays in force."""
 
     def __init__(self, relay: Relay, reload: Callable[[], Config] | None, tasks: TaskGroup) -> None:
         self._relay, self._reload, self._tasks = relay, reload, tasks
-        self._trying = False
+        self._retrying = False
 
-    def signalled(self) -> None:
-        if self._reload and not self._followed() and not self._trying:
-            self._trying = True
-            self._tasks.start_soon(self._try_again)
+    def on_signal(self) -> None:
+        if self._reload and not self._apply() and not self._retrying:
+            self._retrying = True
+            self._tasks.start_soon(self._retry)
 
-    def _followed(self) -> bool:
+    def _apply(self) -> bool:
         assert self._reload
         try:
             self._relay.follow(self._reload())
-        except Exception as err:  # whatever is wrong with the new one, the old one still serves
-            logger.bind(event="config.kept").error("the configuration stays as it was: {}", err)
+        except Exception as err:  # an invalid new one must not stop the relay
+            logger.bind(event="config.kept").error("the new configuration is ignored: {}", err)
             return False
         return True
 
-    async def _try_again(self) -> None:
-        for pause in _RELOAD_PAUSES_S:
+    async def _retry(self) -> None:
+        for pause in _RELOAD_RETRY_PAUSES_S:
             await anyio.sleep(pause)
-            if self._followed():
+            if self._apply():
                 break
-        self._trying = False
+        self._retrying = False
--- a/tests/orders/test_shutdown.py
+++ b/tests/orders/test_shutdown.py
@@ -381,7 +381,7 @@
                 tasks.start_soon(sender.run)
                 await until(lambda: told)
                 tasks.cancel_scope.cancel()
-        spent = limits[0] * 1e3 + sum(sleeps) * 1e3 + 2 * relay_module._OVERDUE_MS
+        spent = limits[0] * 1e3 + sum(sleeps) * 1e3 + 2 * relay_module._OVERDUE_GRACE_MS
         self.assertLessEqual(spent, 250)
 
 
