--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program itself: it starts, is killed, starts again, and stops."""
+"""Tests of the whole process: start, kill, restart, stop, reload and exit codes."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
 @contextmanager
 def ending(process: subprocess.Popen[bytes]) -> Iterator[subprocess.Popen[bytes]]:
-    """However a test ends, so does the program that it started."""
+    """Kill the process when the block is left, whether the test passes or fails."""
     try:
         yield process
     finally:
@@ -80,13 +80,13 @@
 
 
 async def exit_code(process: subprocess.Popen[bytes]) -> int | None:
-    """Once it has ended by itself."""
+    """Wait until the process exits by itself; returns its exit code."""
     await until(lambda: process.poll() is not None)
     return process.returncode
 
 
-class Lives(unittest.TestCase):
-    def test_a_killed_relay_delivers_what_it_had_taken_on(self) -> None:
+class Restarts(unittest.TestCase):
+    def test_accepted_messages_are_delivered_after_a_kill(self) -> None:
         async def test(world: World) -> None:
             async def hang_once(_request: Request) -> object:
                 if len(world.endpoint.requests) == 1:
@@ -109,7 +109,7 @@
 
         play(test)
 
-    def test_a_stopping_relay_refuses_new_work_and_ends_what_it_has(self) -> None:
+    def test_a_stopping_relay_refuses_new_messages_and_completes_open_ones(self) -> None:
         async def test(world: World) -> None:
             release = world.hold()
             program = Program(world)
@@ -130,21 +130,22 @@
             program = Program(world)
             process = await program.start()
             try:
-                await until(lambda: any("wait=" in r.query for r in world.platform.requests))
+                await until(lambda: any("wait=" in request.query for request in world.platform.requests))
                 program.path.write_text("{")
-                process.send_signal(signal.SIGHUP)  # logged, and the old configuration kept
+                process.send_signal(signal.SIGHUP)  # invalid: the old configuration stays in force
                 self.assertEqual((await world.hand_in("a1")).status, 202)
                 await until(lambda: world.endpoint.requests)
                 world.members = [member(str(world.endpoint.address), phase="Terminating")]
-                program.say({"discovery": str(moved.address)})  # which outweighs NODE_DISCOVERY by now
+                program.say({"discovery": str(moved.address)})  # takes precedence over NODE_DISCOVERY after a reload
                 process.send_signal(signal.SIGHUP)
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(moved.run)
                     await until(lambda: len(moved.requests) > 1)
                     first = moved.requests[0]
-                    self.assertEqual((first.path, first.query), ("/registry/instances", ""))  # the whole list
+                    # The first request at the new address is for the complete endpoint list.
+                    self.assertEqual((first.path, first.query), ("/registry/instances", ""))
                     self.assertEqual((await world.hand_in("a2", Req_Deadline_Ms="1300")).status, 202)
-                    await until(lambda: any(r.path == "/reports" for r in moved.requests))
+                    await until(lambda: any(request.path == "/reports" for request in moved.requests))
                     tasks.cancel_scope.cancel()
                 self.assertIsNone(process.poll())
             finally:
@@ -160,14 +161,14 @@
             "try: runpy.run_module('calicohitch', run_name='__main__')\n"
             "except SystemExit: os.kill(os.getpid(), signal.SIGHUP); print('alive')"
         )
-        done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
-        self.assertIn("alive", done.stdout)
+        result = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
+        self.assertIn("alive", result.stdout)
 
 
 class Folders(unittest.TestCase):
-    """What a start says of a folder that it cannot use, and the code that it ends with."""
+    """Error message and exit code of a start with a folder that cannot be used."""
 
-    def ended(self, prepare: Callable[[Path], None]) -> tuple[int, str]:
+    def run_with_folder(self, prepare: Callable[[Path], None]) -> tuple[int, str]:
         with tempfile.TemporaryDirectory() as name:
             state = Path(name) / "state"
             prepare(state)
@@ -177,7 +178,7 @@
                     {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "state": str(state), "settings": SETTINGS}
                 )
             )
-            done = subprocess.run(
+            result = subprocess.run(
                 [sys.executable, "-m", "calicohitch", "serve"],
                 cwd=ROOT,
                 capture_output=True,
@@ -185,34 +186,34 @@
                 timeout=60,
                 env=os.environ | {"NODE_CONFIG": str(path), "PYTHONPATH": str(ROOT)},
             )
-            return done.returncode, done.stderr
+            return result.returncode, result.stderr
 
-    def test_a_file_in_its_place(self) -> None:
-        code, said = self.ended(lambda state: state.write_text(""))
+    def test_a_file_in_place_of_the_folder(self) -> None:
+        code, stderr = self.run_with_folder(lambda state: state.write_text(""))
         self.assertEqual(code, 73)
-        self.assertIn("calicohitch: the folder", said)
-        self.assertIn("it is not a folder: move the file away", said)
-        self.assertNotIn("Traceback", said)
+        self.assertIn("calicohitch: the folder", stderr)
+        self.assertIn("it is not a folder: move the file away", stderr)
+        self.assertNotIn("Traceback", stderr)
 
-    def test_a_newer_format(self) -> None:
+    def test_a_journal_of_a_newer_format(self) -> None:
         def newer(state: Path) -> None:
             state.mkdir()
             payload = struct.pack(">BQHQI", 8, 0, 99, 0, 1)
             frame = struct.pack(">II", len(payload), zlib.crc32(payload))
             (state / "journal-00000001.log").write_bytes(frame + payload)
 
-        code, said = self.ended(newer)
+        code, stderr = self.run_with_folder(newer)
         self.assertEqual(code, 78)
-        self.assertIn("was written by a newer program, in format 99", said)
+        self.assertIn("was written by a newer program, in format 99", stderr)
 
 
 class CommandLine(unittest.TestCase):
-    def run_it(self, *arguments: str, **env: str) -> subprocess.CompletedProcess[str]:
+    def run_command(self, *arguments: str, **env: str) -> subprocess.CompletedProcess[str]:
         command = [sys.executable, "-m", "calicohitch", *arguments]
         env = os.environ | env
         return subprocess.run(command, env=env, cwd=ROOT, capture_output=True, text=True, timeout=60)
 
-    def test_sub_commands(self) -> None:
+    def test_subcommands(self) -> None:
         cases: list[tuple[list[str], dict[str, str], int, str]] = [
             (["version"], {}, 0, ""),
             (["check-config"], {"NODE_CONFIG": "/nowhere"}, 2, "calicohitch: the configuration /nowhere"),
@@ -222,10 +223,10 @@
         ]
         for arguments, env, code, text in cases:
             with self.subTest(arguments=arguments):
-                done = self.run_it(*arguments, **env)
-                self.assertEqual(done.returncode, code)
-                self.assertIn(text, done.stderr)
-        self.assertEqual(self.run_it("version").stdout.strip(), __version__)
+                result = self.run_command(*arguments, **env)
+                self.assertEqual(result.returncode, code)
+                self.assertIn(text, result.stderr)
+        self.assertEqual(self.run_command("version").stdout.strip(), __version__)
 
 
 if __name__ == "__main__":
