--- a/tests/orders/test_restart.py
+++ b/tests/orders/test_restart.py
@@ -288,7 +288,7 @@
     @in_world
     async def test_what_was_decided_before_the_decisions_broke_is_carried_out(self, world: World) -> None:
         async with world.relay() as relay:
-            with mock.patch.object(relay._engine, "_arm", side_effect=IndexError):
+            with mock.patch.object(relay._engine, "_schedule", side_effect=IndexError):
                 await world.hand_in("m0", path="/scores")
                 await until(lambda: world.endpoint.requests)
                 await until(lambda: relay.idle)
