--- a/calicohitch/decisions.py
+++ b/calicohitch/decisions.py
@@ -1,7 +1,7 @@
 """The decision engine of a relay. Its settings, events and actions are defined in `interface.py`.
 
 The mechanism is that of Krompass et al. (ICSoC 2006): held messages are ranked by an adaptive penalty that
-follows from the conformance c of their class. Everything else protects against overload, outages and crowded
+follows from the conformance c of their class. Everything else protects against overload, outages and long
 queues; each comment says what it protects against and what it costs. Times are microseconds.
 """
 
@@ -75,10 +75,10 @@
 OUTAGE_US = 5 * SECOND // 2  # refusals or a retry-after beyond the span of a rate limit mean an outage
 BACKOFF_FACTOR = 4  # growth for each bad call in a row, so that few attempts cover a message's lifetime
 MAX_OVERLOAD_DOUBLINGS = 8  # half a second becomes two minutes: longer than any message lives
-TRIAL_INTERVAL_US, MAX_TRIAL_INTERVAL_US = SECOND // 2, 2 * SECOND  # first, longest; of an unhealthy route
+TRIAL_INTERVAL_US, MAX_TRIAL_INTERVAL_US = SECOND // 2, 2 * SECOND  # first, longest pause between trials
 PACE_CUT = 0.85  # share of the accepted rate at which a refused route is paced
 OVERLOAD_MARGIN = 0.8  # share of the load that overloads a route in slow start, where its limit is reported
-DISCOVERY_RETRY_US, MAX_DISCOVERY_RETRY_US = SECOND, 8 * SECOND  # first, longest, after failed calls
+DISCOVERY_RETRY_US, MAX_DISCOVERY_RETRY_US = SECOND, 8 * SECOND  # first, longest pause after failures
 
 
 def penalty(c: float, worth: float, levels: Sequence[float] = SERVICE_LEVELS) -> float:
