--- a/calicohitch/net/discovery.py
+++ b/calicohitch/net/discovery.py
@@ -60,9 +60,8 @@
     id: str
     listed: Listed
     address: Address | None
-    source: Mapping[str, Any] | None = field(
-        default=None, compare=False, repr=False
-    )  # the JSON object that discovery last sent
+    # The JSON object that discovery last sent.
+    source: Mapping[str, Any] | None = field(default=None, compare=False, repr=False)
 
 
 class Directory:
--- a/calicohitch/net/endpoints.py
+++ b/calicohitch/net/endpoints.py
@@ -113,7 +113,7 @@
         scope: anyio.CancelScope,
         wanted: Callable[[], bool],
     ) -> Result:
-        """One attempt. The connection is closed unless the call was answered in time; a request is never resent here.
+        """One attempt. The connection is kept only if it was answered in time or unused; nothing is ever resent here.
         Opening a connection takes time and the process may be paused: `wanted` is checked before the request is sent
         and says whether the decision to call still holds."""
         pool = (endpoint, address)
--- a/calicohitch/net/http.py
+++ b/calicohitch/net/http.py
@@ -35,11 +35,8 @@
 # An incomplete status line is no delivery: the server may never write the rest.
 _STATUS_LINE_200 = re.compile(rb"HTTP/1\.\d 200(?: [^\r\n]*)?\r?\n")
 _LINGER_BYTES = 1 << 20
-_CONNECT_IN_PROGRESS = (
-    errno.EINPROGRESS,
-    errno.EINTR,
-    errno.EALREADY,
-)  # connect(2): its result is known once the socket is writable
+# Codes of connect(2) after which its result is known once the socket is writable.
+_CONNECT_IN_PROGRESS = (errno.EINPROGRESS, errno.EINTR, errno.EALREADY)
 _MAX_DISCARD_READS = 16  # reads that discard unread data before a close
 
 Headers = list[tuple[bytes, bytes]]
