--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -1,9 +1,9 @@
-"""What happens to a relay that gets more than it can do, in paired runs against an earlier revision.
+"""Admission under overload: a relay that is offered more than it can process, paired with an earlier revision.
 
-    .venv/bin/python benchmarks/admission.py flood REVISION [PAIRS]   6,000 messages on 64 kept connections, flat out
+    .venv/bin/python benchmarks/admission.py flood REVISION [PAIRS] 6,000 unpaced messages on 64 kept-alive connections
 
-The endpoint and the clients run in this process, the relay in its own, on a core of its own where there are several.
-Every load is bounded in count and time; all traffic is on the loopback.
+The endpoint and the clients run in this process, the relay in its own, pinned to a core if there are more than three.
+Every load is bounded in count and time; all traffic is on the loopback interface.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 from harness import ROOT, RelayProcess, spread
 from versions import checkout
 
-COUNT, LINKS = 6_000, 64
-PATIENCE_S = 0.4  # as long as clients wait for an answer
-AIM_S, LIMIT_S = 1.0, 5.0
+MESSAGES, CONNECTIONS = 6_000, 64
+CLIENT_TIMEOUT_S = 0.4
+ON_TIME_S, DEADLINE_S = 1.0, 5.0
 
 
-class Here:
-    """Discovery and one endpoint in this process; when each message was called out first."""
+class LocalPlatform:
+    """Discovery and one endpoint in this process; `first_call_at` has the monotonic time of a message's first call."""
 
     def __init__(self) -> None:
-        self.called: dict[str, float] = {}
+        self.first_call_at: dict[str, float] = {}
         self.discovery = self.endpoint = 0
 
     async def run(self) -> None:
         servers = [
-            await asyncio.start_server(front, "127.0.0.1", 0, backlog=1024)
-            for front in (self._discovery, self._endpoint)
+            await asyncio.start_server(handler, "127.0.0.1", 0, backlog=1024)
+            for handler in (self._discovery, self._endpoint)
         ]
         self.discovery, self.endpoint = (server.sockets[0].getsockname()[1] for server in servers)
 
@@ -52,14 +52,14 @@
             while True:
                 head = await self._read(reader)
                 name = head.split(b"Req-Id: ")[1].split(b"\r\n")[0].decode()
-                self.called.setdefault(name, time.monotonic())
+                self.first_call_at.setdefault(name, time.monotonic())
                 await asyncio.sleep(0.005)
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             writer.close()
 
     async def _discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        told = json.dumps(
+        endpoint_list = json.dumps(
             {
                 "revision": 1,
                 "complete": True,
@@ -85,22 +85,22 @@
                 if head.startswith(b"POST"):
                     writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
                 else:
-                    writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(told) + told)
+                    writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(endpoint_list) + endpoint_list)
         except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             writer.close()
 
 
 async def flood(root: Path, folder: Path, core: int) -> dict[str, float]:
-    here = Here()
-    await here.run()
+    platform = LocalPlatform()
+    await platform.run()
     settings: dict[str, Any] = {}
-    relay = await asyncio.to_thread(lambda: RelayProcess(here, folder, root=root, **settings))  # type: ignore[arg-type]
+    relay = await asyncio.to_thread(lambda: RelayProcess(platform, folder, root=root, **settings))  # type: ignore[arg-type]
     if (os.cpu_count() or 1) > 3:
         os.sched_setaffinity(relay.process.pid, {core})
-    taken: dict[str, float] = {}
-    waits: list[float] = []
-    counts = {"refused": 0, "unheard": 0}
-    numbers = iter(range(COUNT))
+    accepted: dict[str, float] = {}
+    response_ms: list[float] = []
+    counts = {"refused": 0, "unanswered": 0}
+    numbers = iter(range(MESSAGES))
 
     async def client() -> None:
         reader = writer = None
@@ -108,24 +108,24 @@
             if writer is None:
                 reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
             assert reader
-            sent = time.monotonic()
+            sent_at = time.monotonic()
             writer.write(
                 b"POST /score-updates HTTP/1.1\r\nHost: x\r\nReq-Id: m%d\r\nReq-Deadline-Ms: 5000\r\n"
                 b"Envelope: dest=7\r\nContent-Length: 4\r\n\r\nbody" % n
             )
             try:
-                head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), PATIENCE_S)
+                head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), CLIENT_TIMEOUT_S)
             except (TimeoutError, asyncio.IncompleteReadError, ConnectionError):
-                counts["unheard"] += 1
+                counts["unanswered"] += 1
                 writer.close()
                 writer = None
                 continue
-            heard = time.monotonic()
+            answered_at = time.monotonic()
             size = int(head.lower().split(b"content-length:")[1].split(b"\r\n")[0])
             await reader.readexactly(size)
             if head.startswith(b"HTTP/1.1 202"):
-                taken[f"m{n}"] = sent
-                waits.append((heard - sent) * 1e3)
+                accepted[f"m{n}"] = sent_at
+                response_ms.append((answered_at - sent_at) * 1e3)
             else:
                 counts["refused"] += 1
             if b"connection: close" in head.lower():
@@ -133,24 +133,27 @@
                 writer = None
 
     try:
-        began = time.monotonic()
-        await asyncio.wait_for(asyncio.gather(*(client() for _ in range(LINKS))), 120)
-        fed = time.monotonic() - began
-        await asyncio.sleep(LIMIT_S + 1)
+        started_at = time.monotonic()
+        await asyncio.wait_for(asyncio.gather(*(client() for _ in range(CONNECTIONS))), 120)
+        load_s = time.monotonic() - started_at
+        await asyncio.sleep(DEADLINE_S + 1)
     finally:
         relay.close()
-    out = [here.called[name] - sent for name, sent in taken.items() if name in here.called]
-    early = sum(after <= AIM_S for after in out)
-    waits.sort()
+    delays_s = [
+        platform.first_call_at[name] - sent_at for name, sent_at in accepted.items() if name in platform.first_call_at
+    ]
+    on_time = sum(delay_s <= ON_TIME_S for delay_s in delays_s)
+    response_ms.sort()
     return {
-        "202 a second": len(taken) / fed,
-        "202 p50 ms": waits[len(waits) // 2],
-        "202 p99 ms": waits[int(len(waits) * 0.99)],
-        "called out in time, of the 202": sum(after <= LIMIT_S for after in out) / max(1, len(taken)),
-        "called out within the aim, of the 202": early / max(1, len(taken)),
-        "worth a second": (2.0 * early + 0.2 * (len(out) - early)) / fed,
+        "202 a second": len(accepted) / load_s,
+        "202 p50 ms": response_ms[len(response_ms) // 2],
+        "202 p99 ms": response_ms[int(len(response_ms) * 0.99)],
+        "first call before the deadline, of the 202": sum(delay_s <= DEADLINE_S for delay_s in delays_s)
+        / max(1, len(accepted)),
+        "first call on time, of the 202": on_time / max(1, len(accepted)),
+        "value a second": (2.0 * on_time + 0.2 * (len(delays_s) - on_time)) / load_s,
         "refused": float(counts["refused"]),
-        "not heard in 400 ms": float(counts["unheard"]),
+        "unanswered in 400 ms": float(counts["unanswered"]),
     }
 
 
@@ -163,9 +166,9 @@
             for k, (name, root) in enumerate(sides if n % 2 else sides[::-1]):
                 state = Path(folder) / f"{n}-{k}"
                 found[name].append(asyncio.run(flood(root, state, 0)))
-    for what in found["now"][0]:
-        now, then = ([told[what] for told in found[name]] for name in ("now", revision))
-        line = f"{what}: now {spread(now)}; at {revision} {spread(then)}"
+    for label in found["now"][0]:
+        now, then = ([result[label] for result in found[name]] for name in ("now", revision))
+        line = f"{label}: now {spread(now)}; at {revision} {spread(then)}"
         if statistics.median(then) > 0:
             line += f"; ratio {statistics.median(now) / statistics.median(then):.2f}"
         print(line, flush=True)
--- a/benchmarks/endpoints.py
+++ b/benchmarks/endpoints.py
@@ -1,8 +1,8 @@
-"""What sixteen times the endpoints cost: `python benchmarks/endpoints.py [ENDPOINTS] [TIMES]`.
+"""CPU cost by the number of endpoints: `python benchmarks/endpoints.py [ENDPOINTS] [TIMES]`.
 
-Plays the same work with so many endpoints and with TIMES as many, over as many destinations in proportion: the whole
-list read and told, one line of it changed, the list asked for again unchanged, and what is known stored. CPU in
-milliseconds, the least of several runs. Runs of two versions are to be paired.
+Runs the same operations with ENDPOINTS (default 200) and with TIMES (default 16) as many, with 10 endpoints to each
+destination in both: the first complete endpoint list, the same list again, an update of one endpoint, and storing the
+cached state. Prints CPU milliseconds, the minimum of several runs. To compare two versions, run them in pairs.
 """
 
 from __future__ import annotations
@@ -28,21 +28,21 @@
 from calicohitch.decisions import DecisionEngine  # noqa: E402
 
 RUNS = 7
-A_DESTINATION = 10  # endpoints
+ENDPOINTS_PER_DESTINATION = 10
 
 
-def least_ms(act: Callable[[], Any], runs: int = RUNS) -> float:
-    """The CPU that an act takes at least."""
-    spans = []
+def least_ms(operation: Callable[[], Any], runs: int = RUNS) -> float:
+    """Minimum CPU milliseconds of the operation over the runs."""
+    cpu_s = []
     for _ in range(runs):
         before = time.process_time()
-        act()
-        spans.append(time.process_time() - before)
-    return min(spans) * 1e3
+        operation()
+        cpu_s.append(time.process_time() - before)
+    return min(cpu_s) * 1e3
 
 
-class Work:
-    """One relay's knowledge of so many endpoints."""
+class Workload:
+    """The operations on one relay's directory and decision engine with this number of endpoints."""
 
     def __init__(self, endpoints: int, folder: Path) -> None:
         config = parse(
@@ -60,7 +60,7 @@
                 "host_port": f"127.0.{n // 250}.{n % 250}:8080",
                 "locality": "west",
                 "flavor": "pubs",
-                "cell": n // A_DESTINATION,
+                "cell": n // ENDPOINTS_PER_DESTINATION,
                 "phase": "Ready",
                 "size": 2.0,
                 "up_since_ms": 0,
@@ -68,41 +68,43 @@
             for n in range(endpoints)
         ]
         self.names, self.settings, self.revision = config.names, config.settings, 1
-        self.memory = StateCache(folder, 1, config.names.classes)
-        self.anew()
-        self.whole()
+        self.state_cache = StateCache(folder, 1, config.names.classes)
+        self.reset()
+        self.complete_list()
 
-    def anew(self) -> None:
+    def reset(self) -> None:
         self.directory, self.engine = Directory(self.names), DecisionEngine(self.settings, 1)
 
-    def told(self, complete: bool, members: list[dict[str, Any]]) -> None:
+    def update(self, complete: bool, members: list[dict[str, Any]]) -> None:
         self.revision += 1
         text = json.dumps({"revision": self.revision, "complete": complete, "members": members})
-        update = self.directory.read(json.loads(text))
-        self.engine.handle(self.revision * 1_000, [update.event()])
+        discovery_update = self.directory.read(json.loads(text))
+        self.engine.handle(self.revision * 1_000, [discovery_update.event()])
 
-    def first(self) -> None:
-        self.anew()
-        self.whole()
+    def first_list(self) -> None:
+        self.reset()
+        self.complete_list()
 
-    def whole(self) -> None:
-        self.told(True, self.members)
+    def complete_list(self) -> None:
+        self.update(True, self.members)
 
-    def one_line(self) -> None:
+    def change_one(self) -> None:
         changed = self.members[self.revision % len(self.members)]
         changed["size"] = 1.0 + self.revision % 3
-        self.told(False, [changed])
+        self.update(False, [changed])
 
-    def keep(self) -> None:
+    def store(self) -> None:
         members = self.directory.storable_members if len(self.members) <= MOST_MEMBERS else list
-        self.memory.save(1e12 + self.revision, self.engine.known(), lambda _number: "", "d", self.revision, members)
+        self.state_cache.save(
+            1e12 + self.revision, self.engine.known(), lambda _number: "", "d", self.revision, members
+        )
 
-    def measured(self) -> dict[str, float]:
+    def measure(self) -> dict[str, float]:
         return {
-            "the first whole list": least_ms(self.first),
-            "the whole list again": least_ms(self.whole),
-            "one line changed": least_ms(self.one_line, 40),
-            "what is known stored": least_ms(self.keep),
+            "first complete list": least_ms(self.first_list),
+            "complete list again": least_ms(self.complete_list),
+            "one endpoint changed": least_ms(self.change_one, 40),
+            "cached state stored": least_ms(self.store),
         }
 
 
@@ -110,10 +112,10 @@
     logger.remove()
     endpoints, times = int((sys.argv[1:] or ["200"])[0]), int((sys.argv[2:] or ["16"])[0])
     with tempfile.TemporaryDirectory() as folder:
-        one = Work(endpoints, Path(folder)).measured()
-        many = Work(endpoints * times, Path(folder)).measured()
+        base = Workload(endpoints, Path(folder)).measure()
+        many = Workload(endpoints * times, Path(folder)).measure()
     print(f"{'CPU, ms':<24}{endpoints:>10}{endpoints * times:>10}")
-    for name, cost in one.items():
+    for name, cost in base.items():
         print(f"{name:<24}{cost:>10.3f}{many[name]:>10.3f}")
 
 
--- a/benchmarks/grpc_calls.py
+++ b/benchmarks/grpc_calls.py
@@ -1,10 +1,10 @@
-"""What a gRPC call through the relay costs, beside HTTP/1.1 and beside a bare pass-through on grpcio, in one run.
+"""Cost of a gRPC call through the relay, against HTTP/1.1 and against a plain grpcio proxy, in one run.
 
-    .venv/bin/python benchmarks/grpc_calls.py cpu       CPU a call at an even rate, and calls a second flat out
-    .venv/bin/python benchmarks/grpc_calls.py added     time added to a call
+    .venv/bin/python benchmarks/grpc_calls.py cpu       CPU a call at a constant rate, and calls a second unpaced
+    .venv/bin/python benchmarks/grpc_calls.py added     latency added to a call
     .venv/bin/python benchmarks/grpc_calls.py memory    500 open streams whose client does not read
 
-Needs the `dev` extra (grpcio). Every load is bounded in count and time; all traffic is on the loopback.
+Needs the `dev` extra (grpcio). Every load is bounded in count and time; all traffic is on the loopback interface.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from harness import Platform, RelayProcess, cpu_of, free_port, spread
 from tracing import load
 
-# An endpoint on grpcio's asyncio server: echoes; "flood:N" streams N messages of 64 KiB. Its port is printed.
+# An endpoint on grpcio's asyncio server, which prints its port: it echoes, and "flood:N" streams N messages of 64 KiB.
 ENDPOINT = """
 import asyncio, grpc, grpc.aio
 class All(grpc.GenericRpcHandler):
@@ -45,8 +45,8 @@
 asyncio.run(main())
 """
 
-# The bare pass-through: a few lines of grpcio, without any of the relay's rules. argv: the endpoint's port.
-BARE = """
+# A plain grpcio proxy without the relay's rules, as the baseline. argv: the endpoint's port.
+PLAIN_PROXY = """
 import asyncio, sys, grpc, grpc.aio
 async def main():
     channel = grpc.aio.insecure_channel("127.0.0.1:" + sys.argv[1])
@@ -66,7 +66,7 @@
 
 
 class Script:
-    """A helper process that prints its port."""
+    """A child process that runs the code and prints its port."""
 
     def __init__(self, code: str, *arguments: str) -> None:
         self.process = subprocess.Popen([sys.executable, "-c", code, *arguments], stdout=subprocess.PIPE, text=True)
@@ -82,12 +82,12 @@
 
 
 class GrpcRelay:
-    """A relay with a gRPC front before an endpoint."""
+    """A relay with a gRPC listener in front of the endpoint at this port."""
 
     def __init__(self, endpoint: int, folder: Path) -> None:
-        self.front = free_port()
+        self.grpc_port = free_port()
         operator = (
-            f'grpc listen="127.0.0.1:{self.front}" {{\nroute "b.S" "Post" class="score-updates" dest=9\n'
+            f'grpc listen="127.0.0.1:{self.grpc_port}" {{\nroute "b.S" "Post" class="score-updates" dest=9\n'
             'route "b.S" "Watch" class="entry-orders" dest=9 requests="many"\nendpoints id="g"\n}\n'
         )
         self.platform = Platform(grpc_port=endpoint)
@@ -98,23 +98,23 @@
         self.platform.close()
 
 
-async def calls(port: int, count: int, per_s: float, together: int = 16) -> tuple[float, list[float]]:
-    """Unary calls at an even rate (0: flat out); seconds in all, and each call's milliseconds."""
-    took: list[float] = []
-    numbers, began = iter(range(count)), time.monotonic()
+async def calls(port: int, count: int, per_s: float, concurrency: int = 16) -> tuple[float, list[float]]:
+    """Unary calls at a constant rate (0: unpaced); total seconds, and each call's milliseconds."""
+    durations_ms: list[float] = []
+    numbers, started_at = iter(range(count)), time.monotonic()
     async with grpc.aio.insecure_channel(f"127.0.0.1:{port}") as channel:
         method = channel.unary_unary("/b.S/Post")
 
         async def client() -> None:
             for n in numbers:
                 if per_s:
-                    await asyncio.sleep(max(0.0, began + n / per_s - time.monotonic()))
-                at = time.perf_counter()
+                    await asyncio.sleep(max(0.0, started_at + n / per_s - time.monotonic()))
+                call_started = time.perf_counter()
                 await method(b"body", timeout=4)
-                took.append((time.perf_counter() - at) * 1e3)
+                durations_ms.append((time.perf_counter() - call_started) * 1e3)
 
-        await asyncio.wait_for(asyncio.gather(*(client() for _ in range(together))), 120)
-    return time.monotonic() - began, took
+        await asyncio.wait_for(asyncio.gather(*(client() for _ in range(concurrency))), 120)
+    return time.monotonic() - started_at, durations_ms
 
 
 def cpu(rounds: int = 3, count: int = 1_500, per_s: float = 150.0) -> None:
@@ -123,18 +123,18 @@
     for _ in range(rounds):
         endpoint = Script(ENDPOINT)
         with tempfile.TemporaryDirectory() as folder:
-            through, bare = GrpcRelay(endpoint.port, Path(folder) / "g"), Script(BARE, str(endpoint.port))
+            grpc_relay, proxy = GrpcRelay(endpoint.port, Path(folder) / "g"), Script(PLAIN_PROXY, str(endpoint.port))
             platform = Platform()
-            http = RelayProcess(platform, Path(folder) / "h")
+            http_relay = RelayProcess(platform, Path(folder) / "h")
             try:
-                asyncio.run(load(http.port, 100, 100, 7, name="warm"))
-                before = http.cpu_s()
-                asyncio.run(load(http.port, count, per_s, 7))
+                asyncio.run(load(http_relay.port, 100, 100, 7, name="warm"))
+                before = http_relay.cpu_s()
+                asyncio.run(load(http_relay.port, count, per_s, 7))
                 time.sleep(0.5)
-                found["HTTP/1.1"].append((http.cpu_s() - before) * 1e3 / count)
+                found["HTTP/1.1"].append((http_relay.cpu_s() - before) * 1e3 / count)
                 sides: list[tuple[str, int, Any]] = [
-                    ("gRPC", through.front, through.relay),
-                    ("bare grpcio", bare.port, bare),
+                    ("gRPC", grpc_relay.grpc_port, grpc_relay.relay),
+                    ("bare grpcio", proxy.port, proxy),
                 ]
                 for name, port, process in sides:
                     asyncio.run(calls(port, 100, 100))
@@ -144,8 +144,8 @@
                     seconds, _ = asyncio.run(calls(port, 2_000, 0))
                     rates[name].append(2_000 / seconds)
             finally:
-                for party in (http, platform, through, bare, endpoint):
-                    party.close()
+                for resource in (http_relay, platform, grpc_relay, proxy, endpoint):
+                    resource.close()
     for name, values in found.items():
         rate = f", {statistics.median(rates[name]):.0f} calls a second flat out" if name in rates else ""
         print(
@@ -162,17 +162,17 @@
     for _ in range(rounds):
         endpoint = Script(ENDPOINT)
         with tempfile.TemporaryDirectory() as folder:
-            through = GrpcRelay(endpoint.port, Path(folder))
+            grpc_relay = GrpcRelay(endpoint.port, Path(folder))
             try:
-                told = []
-                for port in (endpoint.port, through.front):
+                results = []
+                for port in (endpoint.port, grpc_relay.grpc_port):
                     asyncio.run(calls(port, 50, 0, 1))
-                    took = sorted(asyncio.run(calls(port, count, 100, 1))[1])
-                    told.append((statistics.median(took), took[int(len(took) * 0.99)]))
-                medians.append(told[1][0] - told[0][0])
-                tails.append(told[1][1] - told[0][1])
+                    durations_ms = sorted(asyncio.run(calls(port, count, 100, 1))[1])
+                    results.append((statistics.median(durations_ms), durations_ms[int(len(durations_ms) * 0.99)]))
+                medians.append(results[1][0] - results[0][0])
+                tails.append(results[1][1] - results[0][1])
             finally:
-                through.close()
+                grpc_relay.close()
                 endpoint.close()
     print(f"added to a call: median {spread(medians)} ms, p99 {spread(tails)} ms")
 
@@ -190,7 +190,7 @@
             call = channels[n % len(channels)].stream_stream("/b.S/Watch")(
                 timeout=20, metadata=(("idempotency-key", f"k{n}"),)
             )
-            await call.write(b"flood:64")  # 4 MiB a stream, which nobody reads
+            await call.write(b"flood:64")  # 4 MiB a stream, which the client does not read
             open_calls.append(call)
         await asyncio.sleep(6)
         after = relay.rss_mb()
@@ -201,14 +201,14 @@
         return before, after
 
     with tempfile.TemporaryDirectory() as folder:
-        through = GrpcRelay(endpoint.port, Path(folder))
+        grpc_relay = GrpcRelay(endpoint.port, Path(folder))
         try:
-            before, after = asyncio.run(hold(through.front, through.relay))
+            before, after = asyncio.run(hold(grpc_relay.grpc_port, grpc_relay.relay))
         finally:
-            through.close()
+            grpc_relay.close()
             endpoint.close()
     print(
-        f"{streams} open streams that nobody reads: {before:.1f} MB before, {after:.1f} MB with them, "
+        f"{streams} open streams that the client does not read: {before:.1f} MB before, {after:.1f} MB with them, "
         f"{(after - before) * 1024 / streams:.0f} KiB a stream"
     )
 
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -1,4 +1,4 @@
-"""What benchmarks share: a platform with endpoints in a process of its own, a relay process, a client, /proc."""
+"""Shared by the benchmarks: a platform with endpoints in its own process, a relay process, and readings from /proc."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from typing import Any
 
 ROOT = Path(__file__).parents[1]
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 SETTINGS: dict[str, Any] = {
     "services": [
@@ -51,10 +51,10 @@
     "flavors": ["x"],
 }
 
-# The platform's side runs in a process of its own, so that its CPU is not the relay's. argv: the share of calls
-# that fail at destination 8, and whether destination 7 hangs for 1.6 of every 10 s; its ports are printed. A third
-# argument names the port of a gRPC endpoint, which becomes destination 9.
-PLATFORM = """
+# The platform runs in its own process, so that its CPU is not counted as the relay's, and prints its ports. argv: the
+# share of calls that fail at destination 8; 1 if destination 7 hangs for 1.6 of every 10 s; the port of a gRPC endpoint
+# that becomes destination 9, or 0.
+PLATFORM_PROGRAM = """
 import asyncio, json, sys, time
 FAIL, HANGS, GRPC = float(sys.argv[1]), sys.argv[2] == "1", int(sys.argv[3])
 calls = {7: 0, 8: 0}
@@ -66,7 +66,7 @@
     if b"content-length:" in low:
         size = int(low.split(b"content-length:")[1].split(b"\\r\\n")[0])
     return head, await reader.readexactly(size) if size else b""
-def say(writer, status, body=b""):
+def respond(writer, status, body=b""):
     writer.write(b"HTTP/1.1 %d X\\r\\nContent-Length: %d\\r\\n\\r\\n" % (status, len(body)) + body)
 def endpoint(dest):
     async def serve(reader, writer):
@@ -75,11 +75,11 @@
                 await read(reader)
                 calls[dest] += 1
                 if dest == 8 and (calls[8] * FAIL) % 1 + FAIL >= 1:
-                    say(writer, 500)
+                    respond(writer, 500)
                     continue
                 into = time.monotonic() % 10
                 await asyncio.sleep(1.6 - into if HANGS and dest == 7 and into < 1.6 else 0.005)
-                say(writer, 200)
+                respond(writer, 200)
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
     return serve
@@ -88,11 +88,11 @@
         while True:
             head, _ = await read(reader)
             if head.startswith(b"POST"):
-                say(writer, 204)
+                respond(writer, 204)
                 continue
             if b"index=" in head:
                 await asyncio.sleep(2)
-            say(writer, 200, json.dumps(LIST).encode())
+            respond(writer, 200, json.dumps(LIST).encode())
     except (asyncio.IncompleteReadError, ConnectionError):
         writer.close()
 async def main():
@@ -120,7 +120,7 @@
     """Discovery, and the endpoints of destinations 7 and 8."""
 
     def __init__(self, fail: float = 0.0, hangs: bool = False, grpc_port: int = 0) -> None:
-        command = [sys.executable, "-c", PLATFORM, str(fail), str(int(hangs)), str(grpc_port)]
+        command = [sys.executable, "-c", PLATFORM_PROGRAM, str(fail), str(int(hangs)), str(grpc_port)]
         self.process = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
         assert self.process.stdout
         self.discovery, *_ = map(int, self.process.stdout.readline().split())
@@ -131,20 +131,20 @@
 
 
 def cpu_of(pid: int) -> float:
-    """Seconds of CPU that a process has used."""
+    """CPU seconds, user and system, that the process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 class RelayProcess:
-    """A relay on a core of its own where there are several; what it cost is read from /proc."""
+    """A relay in its own process, ready when the constructor returns; CPU and memory are read from /proc."""
 
     def __init__(
         self, platform: Platform, folder: Path, operator: str = "", root: Path = ROOT, **settings: Any
     ) -> None:
         self.port = free_port()
         folder.mkdir(parents=True, exist_ok=True)
-        told = {
+        config = {
             "name": "b0",
             "listen": f"127.0.0.1:{self.port}",
             "discovery": f"127.0.0.1:{platform.discovery}",
@@ -152,7 +152,7 @@
             "limits": {"sockets": 1024, "disk_mb": 60},
             "settings": SETTINGS | settings,
         }
-        (folder / "config.json").write_text(json.dumps(told))
+        (folder / "config.json").write_text(json.dumps(config))
         command = [sys.executable, "-m", "calicohitch", "serve"]
         if operator:
             (folder / "operator.kdl").write_text(operator)
@@ -165,17 +165,17 @@
         for name in ("NODE_LISTEN", "NODE_STATE", "NODE_DISCOVERY", "NODE_NAME"):
             env.pop(name, None)
         self.process = subprocess.Popen(command, env=env, cwd=root)
-        until = time.monotonic() + 20
+        give_up_at = time.monotonic() + 20
         while not self.is_ready():
-            if time.monotonic() > until:
-                raise TimeoutError("the relay is not ready")
+            if time.monotonic() > give_up_at:
+                raise TimeoutError("the relay was not ready within 20 s")
             time.sleep(0.05)
 
     def is_ready(self) -> bool:
         try:
-            with socket.create_connection(("127.0.0.1", self.port), 1) as link:
-                link.sendall(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-                return link.recv(100).startswith(b"HTTP/1.1 200")
+            with socket.create_connection(("127.0.0.1", self.port), 1) as connection:
+                connection.sendall(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                return connection.recv(100).startswith(b"HTTP/1.1 200")
         except OSError:
             return False
 
--- a/benchmarks/returns.py
+++ b/benchmarks/returns.py
@@ -1,11 +1,11 @@
-"""How 24 relays come back after 17 were killed at once, and what a start costs, beside another revision.
+"""Recovery of 24 relays after 17 were killed at once, and the CPU cost of a start, against another revision.
 
     .venv/bin/python benchmarks/returns.py REVISION [SEEDS]
 
-Each seed is played by both trees in turn. Prints, as medians with the worst: seconds from the restart until the last
-message that the killed relays had taken on was over; calls refused above the limits in the first 2 s; messages on time.
-Then CPU seconds from the start of a process until it is ready, with an empty folder and with 100,000 records in it.
-All traffic is on the loopback, bounded in count and time.
+Each seed runs on both trees in turn. Prints medians with the minimum and maximum: seconds from the restart until the
+last message that the killed relays had accepted ended; calls refused above the limits in the first 2 s; share of
+messages on time. Then CPU seconds from the start of a process until it is ready, with an empty state folder and with
+100,000 records in it. All traffic is on the loopback interface, bounded in count and time.
 """
 
 from __future__ import annotations
@@ -25,56 +25,57 @@
 from fleet.standins import Destination  # noqa: E402
 from fleet.rig import Rig  # noqa: E402
 
-RELAYS, KILLED, LIMIT, LOAD = 24, 17, 100.0, 190.0
+RELAYS, KILLED, LIMIT_PER_S, LOAD_PER_S = 24, 17, 100.0, 190.0
 
 
-async def herd(seed: int, root: Path) -> dict[str, float]:
-    dests = Destination(1, LIMIT), Destination(2, LIMIT)
+async def mass_restart(seed: int, root: Path) -> dict[str, float]:
+    dests = Destination(1, LIMIT_PER_S), Destination(2, LIMIT_PER_S)
     async with Rig(seed, RELAYS, dests, root=root) as rig:
         await rig.start()
-        began = rig.story.now()
-        rig.load(5.0, LOAD)
-        await rig.at(began + 2.0)
+        started_at = rig.story.now()
+        rig.load(5.0, LOAD_PER_S)
+        await rig.at(started_at + 2.0)
         names = rig.random.sample(sorted(rig.relays), KILLED)
         rig.kill(*names)
         killed_at = rig.story.now()
         await rig.at(killed_at + 0.6)
         for name in names:
             rig.begin(name)
-        back_at = rig.story.now()
+        restarted_at = rig.story.now()
         await rig.come(*names)
         await rig.settled(8.5)
         report = rig.audit()
         if report.findings:
             print(report.text(), file=sys.stderr)
-        held = {
+        accepted_ids = {
             event.id
             for event in rig.story.of("client")
             if event.status == 202 and event.relay in names and event.at < killed_at
         }
-        ends = [
+        ended_at = [
             event.at
             for event in rig.story.of("answer", "notice")
-            if event.id in held and event.facts.get("status", 200) == 200 and event.at > back_at
+            if event.id in accepted_ids and event.facts.get("status", 200) == 200 and event.at > restarted_at
         ]
-        above = sum(
-            event.status in (429, 503) and back_at < event.at < back_at + 2.0 for event in rig.story.of("answer")
+        refused = sum(
+            event.status in (429, 503) and restarted_at < event.at < restarted_at + 2.0
+            for event in rig.story.of("answer")
         )
         return {
-            "backlog out, s": max(ends, default=back_at) - back_at,
-            "refused in 2 s": above,
+            "backlog drained, s": max(ended_at, default=restarted_at) - restarted_at,
+            "refused in 2 s": refused,
             "on time, share": report.on_time / max(1, report.taken),
             "findings": len(report.findings),
         }
 
 
 def start_cpu(root: Path, records: int) -> float:
-    """CPU seconds from the start until ready."""
+    """CPU seconds from the start of the process until it is ready, with this number of journal records."""
     platform = Platform()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         if records:
-            fill(folder / "state", records)
+            write_journal(folder / "state", records)
         relay = RelayProcess(platform, folder, root=root)
         try:
             return relay.cpu_s()
@@ -83,17 +84,17 @@
             platform.close()
 
 
-def fill(folder: Path, records: int) -> None:
-    """A folder as this tree writes it, which the version before reads as well: delivered messages before open ones."""
+def write_journal(folder: Path, records: int) -> None:
+    """Writes one open message and then delivered ones to a journal that the earlier revision reads as well."""
     from calicohitch.journal import Entry, Journal
 
     journal = Journal(folder, 60e6)
-    soon = time.time() * 1e3 + 20_000
-    journal.record_accepted(Entry(journal.next_number, "first", "entry-orders", 7, soon, "k", bytes(60)))
+    deadline_ms = time.time() * 1e3 + 20_000
+    journal.record_accepted(Entry(journal.next_number, "first", "entry-orders", 7, deadline_ms, "k", bytes(60)))
     for n in range(records // 3):
         number = journal.next_number
-        journal.record_accepted(Entry(number, f"m{n}", "entry-orders", 7, soon, f"k{n}", bytes(60)))
-        journal.record_attempt(number, 0, soon - 20_000, 0)
+        journal.record_accepted(Entry(number, f"m{n}", "entry-orders", 7, deadline_ms, f"k{n}", bytes(60)))
+        journal.record_attempt(number, 0, deadline_ms - 20_000, 0)
         journal.record_closed(number)
     journal.close()
 
@@ -105,12 +106,12 @@
         for seed in range(1, seeds + 1):
             trees = [("now", ROOT), (revision, before)]
             for name, root in trees if seed % 2 else trees[::-1]:
-                found[name].append(asyncio.run(herd(seed, root)))
-        for what in found["now"][0]:
-            for name, told in found.items():
-                values = [one[what] for one in told]
+                found[name].append(asyncio.run(mass_restart(seed, root)))
+        for label in found["now"][0]:
+            for name, results in found.items():
+                values = [result[label] for result in results]
                 print(
-                    f"{what}: {name} median {statistics.median(values):.2f}, from {min(values):.2f} to "
+                    f"{label}: {name} median {statistics.median(values):.2f}, from {min(values):.2f} to "
                     f"{max(values):.2f}, {len(values)} seeds",
                     flush=True,
                 )
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -1,11 +1,12 @@
-"""What copies of work in hand cost: CPU a message and the time to the 202, without copies and with one or two.
+"""Cost of replicas of accepted messages: CPU a message and time to the 202, with no, one or two replicas.
 
     .venv/bin/python benchmarks/takeover.py [ROUNDS] [MESSAGES]
 
-Each round plays all three in turn, three relays each, the same messages to one of them at an even rate. Prints medians
-over the rounds with their spread: CPU milliseconds a message of the relay that takes them on and of all three, the
-median and p99 of the 202 in milliseconds, transactions and reads of the store a second, and bytes on the holders' disks
-a message. All traffic is on the loopback, bounded in count and time.
+Each round runs the three cases in turn with three relays each, and submits the same messages to one relay at a constant
+rate. Prints medians over the rounds with the minimum and maximum: CPU milliseconds a message of the accepting relay and
+of all three, median and p99 of the time to the 202 in milliseconds, share of messages accepted, requests to the
+coordination store a second, and bytes of replicas on the holders' disks. All traffic is on the loopback interface,
+bounded in count and time.
 """
 
 from __future__ import annotations
@@ -24,37 +25,37 @@
 from fleet.rig import Rig  # noqa: E402
 from fleet.standins import Destination  # noqa: E402
 
-PER_S = 100.0
+MESSAGES_PER_S = 100.0
 
 
-def rig_of(copies: int) -> Rig:
+def make_rig(copies: int) -> Rig:
     dests = (Destination(1, takes_s=0.02),)
     return FleetRig(1, 3, dests, copies=copies) if copies else Rig(1, 3, dests)
 
 
-async def play(copies: int, messages: int) -> dict[str, float]:
-    async with rig_of(copies) as rig:
+async def measure(copies: int, messages: int) -> dict[str, float]:
+    async with make_rig(copies) as rig:
         await rig.start()
         if isinstance(rig, FleetRig):
             await rig.settled_in()
             await asyncio.sleep(1.0)
-        first, times = rig.relays["r0"], list[float]()
+        owner, response_ms = rig.relays["r0"], list[float]()
         pids = [relay.process.pid for relay in rig.relays.values() if relay.process]
 
-        async def one(n: int, name: str) -> None:
-            await asyncio.sleep(n / PER_S)
-            began = time.perf_counter()
-            if await rig.hand_in("scores", 1, first, f"{name}{n}", 4.0) == 202:
-                times.append((time.perf_counter() - began) * 1e3)
+        async def submit(n: int, name: str) -> None:
+            await asyncio.sleep(n / MESSAGES_PER_S)
+            started_at = time.perf_counter()
+            if await rig.hand_in("scores", 1, owner, f"{name}{n}", 4.0) == 202:
+                response_ms.append((time.perf_counter() - started_at) * 1e3)
 
-        await asyncio.gather(*(one(n, "w") for n in range(100)))
-        times.clear()
+        await asyncio.gather(*(submit(n, "w") for n in range(100)))
+        response_ms.clear()
         await asyncio.sleep(0.5)
         before = [cpu_of(pid) for pid in pids]
-        asked = sum(rig.etcd.calls.values()) if isinstance(rig, FleetRig) else 0
-        began = time.monotonic()
-        await asyncio.gather(*(one(n, "m") for n in range(messages)))
-        held = (
+        store_requests = sum(rig.etcd.calls.values()) if isinstance(rig, FleetRig) else 0
+        started_at = time.monotonic()
+        await asyncio.gather(*(submit(n, "m") for n in range(messages)))
+        replica_bytes = (
             sum(
                 path.stat().st_size
                 for relay in rig.relays.values()
@@ -64,18 +65,18 @@
             else 0
         )
         await asyncio.sleep(0.5)
-        seconds = time.monotonic() - began
-        used = [cpu_of(pid) - was for pid, was in zip(pids, before, strict=True)]
-        asked = sum(rig.etcd.calls.values()) - asked if isinstance(rig, FleetRig) else 0
-        times.sort()
+        seconds = time.monotonic() - started_at
+        used_cpu_s = [cpu_of(pid) - cpu_before for pid, cpu_before in zip(pids, before, strict=True)]
+        store_requests = sum(rig.etcd.calls.values()) - store_requests if isinstance(rig, FleetRig) else 0
+        response_ms.sort()
         return {
-            "CPU a message, ms": used[0] * 1e3 / messages,
-            "CPU of all three a message, ms": sum(used) * 1e3 / messages,
-            "202 median, ms": statistics.median(times),
-            "202 p99, ms": times[int(len(times) * 0.99)],
-            "taken on, share": len(times) / messages,
-            "asked of the store a second": asked / seconds,
-            "bytes held at the end": float(held),
+            "CPU a message, ms": used_cpu_s[0] * 1e3 / messages,
+            "CPU of all three a message, ms": sum(used_cpu_s) * 1e3 / messages,
+            "202 median, ms": statistics.median(response_ms),
+            "202 p99, ms": response_ms[int(len(response_ms) * 0.99)],
+            "accepted, share": len(response_ms) / messages,
+            "store requests a second": store_requests / seconds,
+            "replica bytes at the end": float(replica_bytes),
         }
 
 
@@ -83,18 +84,18 @@
     found: dict[int, list[dict[str, Any]]] = {0: [], 1: [], 2: []}
     for n in range(rounds):
         for copies in (0, 1, 2) if n % 2 else (2, 1, 0):
-            found[copies].append(asyncio.run(play(copies, messages)))
-    for what in found[0][0]:
-        for copies, told in found.items():
-            values = [one[what] for one in told]
+            found[copies].append(asyncio.run(measure(copies, messages)))
+    for label in found[0][0]:
+        for copies, results in found.items():
+            values = [result[label] for result in results]
             print(
-                f"{what}: {copies} copies {statistics.median(values):.2f} ({min(values):.2f} to {max(values):.2f})",
+                f"{label}: {copies} copies {statistics.median(values):.2f} ({min(values):.2f} to {max(values):.2f})",
                 flush=True,
             )
     for copies in (1, 2):
         ratios = [a["CPU a message, ms"] / b["CPU a message, ms"] for a, b in zip(found[copies], found[0], strict=True)]
         print(
-            f"CPU of the owner with {copies} copies beside none: {statistics.median(ratios):.2f} "
+            f"CPU of the owner with {copies} copies against none: {statistics.median(ratios):.2f} "
             f"({min(ratios):.2f} to {max(ratios):.2f}), {rounds} rounds"
         )
 
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,6 +1,6 @@
-"""A toy platform to try a relay with: discovery, which also takes notices, and one endpoint of destination 7.
+"""A toy platform to try a relay with: discovery, which also receives notices, and one endpoint of destination 7.
 
-The endpoint turns every fifth call away and tells it to wait, so that a held message can be watched.
+The endpoint refuses every fifth call with a retry-after of 500 ms, so that a message waiting for its retry can be seen.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 DISCOVERY, ENDPOINT = ("127.0.0.1", 8500), ("127.0.0.1", 8081)
-LIST = {
+ENDPOINT_LIST = {
     "revision": 1,
     "complete": True,
     "members": [
@@ -28,7 +28,7 @@
         }
     ],
 }
-NOTHING_NEW = LIST | {"complete": False, "members": []}
+UNCHANGED = ENDPOINT_LIST | {"complete": False, "members": []}
 
 
 class Handler(BaseHTTPRequestHandler):
@@ -47,15 +47,15 @@
         return self.rfile.read(int(self.headers.get("Content-Length", 0)))
 
     def log_message(self, format: str, *args: object) -> None:
-        """The handlers say what is worth saying."""
+        """Disables the request log of the standard library: the handlers print what is of interest."""
 
 
 class Discovery(Handler):
     def do_GET(self) -> None:
-        asked = parse_qs(urlsplit(self.path).query)
-        if "index" in asked:
-            time.sleep(int(asked["wait"][0]) / 1000)
-        self.answer(200, json.dumps(NOTHING_NEW if "index" in asked else LIST).encode())
+        query = parse_qs(urlsplit(self.path).query)
+        if "index" in query:
+            time.sleep(int(query["wait"][0]) / 1000)
+        self.answer(200, json.dumps(UNCHANGED if "index" in query else ENDPOINT_LIST).encode())
 
     def do_POST(self) -> None:
         print("notice:", self.body().decode().strip(), flush=True)
@@ -69,7 +69,7 @@
         body = self.body()
         Endpoint.calls += 1
         if Endpoint.calls % 5 == 0:
-            print("turned away for 500 ms:", self.headers["Req-Id"], flush=True)
+            print("refused, retry after 500 ms:", self.headers["Req-Id"], flush=True)
             self.answer(429, Wait_Ms="500")
         else:
             time.sleep(0.2)
