--- a/calicohitch/grpc/delivery.py
+++ b/calicohitch/grpc/delivery.py
@@ -57,8 +57,8 @@
             for connection in list(connections):
                 if not connection.streams and (connection.draining or connection.idle_since < old):
                     connection.close()
-                connection.look_alive()
-                if connection.gone:
+                connection.check_liveness()
+                if connection.closed:
                     connections.remove(connection)
             if not connections:
                 del self._pools[pool]
@@ -133,8 +133,8 @@
             return attempt.ended(Result(Outcome.CONNECT_FAILED), Status.UNAVAILABLE, "no connection")
         finally:
             pipe.let_go()
-            if attempt.stream and attempt.stream.over:
-                attempt.stream.drop()
+            if attempt.stream and attempt.stream.finished:
+                attempt.stream.discard()
             elif attempt.stream:
                 with anyio.CancelScope(shield=True):
                     await attempt.stream.cancel()
@@ -179,7 +179,7 @@
         ]
         try:
             whole = self._pipe.whole()
-            if whole is not None and stream.takes_at_once(len(whole)):
+            if whole is not None and stream.fits_send_window(len(whole)):
                 await stream.send_headers(headers, more=True)
                 self.may_have_run = True  # from before its last byte on: whether it got there is not known
                 await stream.send(whole, end=True)
@@ -238,7 +238,7 @@
                 timer.deadline = anyio.current_time() + max(0.0, self._pipe.deadline - self._clock.now()) / 1e3
                 await self._pass(self._pipe.pass_headers(headers))
             if data:
-                await self._pass(self._pipe.pass_data(data, stream.all_taken))
+                await self._pass(self._pipe.pass_data(data, stream.all_received))
         if stream.trailers is None:
             if b"grpc-status" not in found:
                 return self._judge(Status.UNKNOWN, (), True, "the endpoint's answer has no status")
--- a/calicohitch/grpc/intake.py
+++ b/calicohitch/grpc/intake.py
@@ -90,7 +90,7 @@
         while True:
             await anyio.sleep(_LOOK_S)
             for connection in list(self._connections):
-                connection.look_alive()
+                connection.check_liveness()
 
     async def drain(self) -> None:
         """No new streams; those that are open go on."""
@@ -112,8 +112,8 @@
                 self._connections.add(connection)
                 await connection.start()
                 await connection.run()
-                if connection.fault:
-                    logger.bind(event="grpc.rude").info("a gRPC connection was ended: {}", connection.fault)
+                if connection.close_reason:
+                    logger.bind(event="grpc.rude").info("a gRPC connection was ended: {}", connection.close_reason)
         except Exception:  # guards all other connections
             logger.exception("a gRPC connection broke off")
         finally:
@@ -134,8 +134,8 @@
             await self._say(stream, trailers_only(Status.INTERNAL, "a fault in the relay"))
         finally:
             self.open_calls -= 1
-            if stream.over:
-                stream.drop()
+            if stream.finished:
+                stream.discard()
             else:
                 with anyio.CancelScope(shield=True), anyio.move_on_after(1.0):
                     # What the client still sends is no longer wanted: by the specification, after a whole answer.
--- a/calicohitch/wire/__init__.py
+++ b/calicohitch/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes on sockets beyond HTTP/1.1: HTTP/2 connections, and what a rude peer may do on one."""
+"""HTTP/2 connections, and limits on the work that a misbehaving peer can cause on one."""
--- a/calicohitch/wire/http2.py
+++ b/calicohitch/wire/http2.py
@@ -1,8 +1,8 @@
-"""HTTP/2 connections by h2 over a `Link`, with prior knowledge, as server or as client.
+"""HTTP/2 connections on h2 and a `Link`, with prior knowledge, as server or as client.
 
-Flow control is by stream: what a stream's reader has not taken yet is not acknowledged there, so a slow reader holds
-one stream's window at most, and stalls nobody else on the connection, whose own window is given back at once.
-Sending waits for the peer's windows and for the socket, so a slow peer holds one chunk a stream here.
+Flow control is by stream: data is acknowledged on its stream when the reader takes it, so a slow reader buffers one
+stream window at most. The connection window is acknowledged on receipt, so that reader does not stall other streams.
+Sending waits for the peer's windows and for the socket, so a slow peer makes this side buffer one chunk per stream.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 from ..clock import Clock
 from ..net.http import Link
-from .conduct import TINY, Act, Conduct
+from .peer_limits import TINY_DATA_BYTES, PeerAction, PeerLimiter
 from ..core.change_notifier import ChangeNotifier
 
 Headers = Sequence[tuple[bytes, bytes]]
 Codes = h2.errors.ErrorCodes
-_MOST_UNSENT = 2 << 20
-_READS_A_TURN = 8  # of one connection, before the others have theirs
-_LAST_WORD_S = 0.1  # for a reset to reach a peer that may not be reading
+_MAX_UNSENT_BYTES = 2 << 20
+_READS_PER_YIELD = 8  # reads of one connection before other tasks run
+_RESET_FLUSH_TIMEOUT_S = 0.1  # the peer may not be reading
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,13 +41,13 @@
     connection_window: int = 1 << 20
     header_list: int = 16 << 10
     frame: int = 16 << 10
-    quiet_ms: float = 300_000.0  # a peer that says nothing for so long, with streams open, is asked; 0: never
-    answer_ms: float = 20_000.0  # and given up where it does not answer within this
+    quiet_ms: float = 300_000.0  # silence with streams open after which a ping is sent; 0: never
+    answer_ms: float = 20_000.0  # the connection is closed if the ping is not answered in time
 
 
 class StreamReset(Exception):
-    """A stream ended without its rest. `code` is the peer's error code, or what fits best where the connection
-    went; `never_ran`: the peer has said that it took no notice of the stream."""
+    """A stream ended early. `code` is the peer's error code, or the nearest one if the connection was lost.
+    `never_ran`: the peer guarantees that it did not process the stream."""
 
     def __init__(self, code: int, never_ran: bool = False, text: str = "") -> None:
         super().__init__(text or f"the stream was reset: {Codes(code).name if code in list(Codes) else code}")
@@ -55,30 +55,30 @@
 
 
 class Http2Stream:
-    """One stream. `headers` comes first, then `receive` until it gives None, then `trailers` if there are any."""
+    """One stream. Read `headers` first, then call `receive` until it returns None, then read `trailers` if any."""
 
     def __init__(self, connection: Http2Connection, number: int) -> None:
         self._connection, self.number = connection, number
         self.headers: Headers | None = None
         self.trailers: Headers | None = None
-        self._chunks: deque[tuple[bytes, int]] = deque()  # data, and what it took of the window
-        self.changes = ChangeNotifier()  # of what the peer sent, or that the stream is over
-        self._room = ChangeNotifier()  # that sending may go on
+        self._chunks: deque[tuple[bytes, int]] = deque()  # data, and its flow-controlled size in bytes
+        self.changes = ChangeNotifier()  # the peer sent something, or the stream ended
+        self._send_ready = ChangeNotifier()  # a window may have opened
         self.remote_ended = self.local_ended = False
         self.reset: StreamReset | None = None
-        self.owed = 0  # bytes of its window that were taken and are not given back yet
+        self.unacknowledged_bytes = 0  # read, but not yet returned to the peer's stream window
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         self.changes.notify()
-        self._room.notify()
+        self._send_ready.notify()
 
     @property
-    def over(self) -> bool:
-        """Nothing more comes or goes on it."""
+    def finished(self) -> bool:
+        """Nothing more is sent or received on it."""
         return self.reset is not None or self.local_ended and self.remote_ended
 
     async def wait_headers(self) -> Headers:
-        """The peer's headers (trailers-only answers have `remote_ended` set); StreamReset where none come."""
+        """The peer's headers; `remote_ended` is set for a trailers-only answer. Raises StreamReset if none come."""
         while self.headers is None:
             if self.reset:
                 raise self.reset
@@ -86,7 +86,7 @@
         return self.headers
 
     async def receive(self) -> bytes | None:
-        """The next data, None at the end. Taking it opens the window for as much again."""
+        """Returns the next data, or None at the end, and opens the stream window by its size."""
         while not self._chunks:
             if self.reset:
                 raise self.reset
@@ -95,46 +95,46 @@
             await self.changes.wait()
         data, size = self._chunks.popleft()
         if not self.remote_ended:
-            await self._connection.taken(self, size)
+            await self._connection.acknowledge(self, size)
         return data
 
     @property
-    def all_taken(self) -> bool:
-        """The peer has sent its last, and all data of it was taken."""
+    def all_received(self) -> bool:
+        """The peer has ended the stream, and all of its data was read."""
         return self.remote_ended and not self._chunks
 
     async def send_headers(self, headers: Headers, end: bool = False, more: bool = False) -> None:
-        """`more`: what is sent next on this stream takes them along, in one write with it."""
-        self._check()
+        """`more`: the headers are written together with what is sent next on this stream."""
+        self._check_open()
         self._connection.state.send_headers(self.number, list(headers), end_stream=end)
         self.local_ended = end
         if not more:
             await self._connection.flush()
 
     async def send(self, data: bytes, end: bool = False, more: bool = False) -> None:
-        """Returns once the last byte was handed to the kernel (with `more`: to whoever sends next on this stream), in
-        pieces that the peer's windows allow."""
-        left = memoryview(data)
+        """Sends data in pieces that the peer's windows allow. Returns once the kernel has the last byte; with `more`,
+        the last piece is written together with what is sent next on this stream."""
+        remaining = memoryview(data)
         while True:
-            self._check()
-            room = min(
+            self._check_open()
+            sendable_bytes = min(
                 self._connection.state.local_flow_control_window(self.number),
                 self._connection.state.max_outbound_frame_size,
             )
-            if room <= 0 and len(left):
-                await self._room.wait()
+            if sendable_bytes <= 0 and len(remaining):
+                await self._send_ready.wait()
                 continue
-            piece, left = left[:room], left[room:]
-            last = end and not len(left)
+            piece, remaining = remaining[:sendable_bytes], remaining[sendable_bytes:]
+            last = end and not len(remaining)
             self._connection.state.send_data(self.number, bytes(piece), end_stream=last)
             self.local_ended = last
-            if not (more and not len(left)):
+            if not (more and not len(remaining)):
                 await self._connection.flush()
-            if not len(left):
+            if not len(remaining):
                 return
 
-    def takes_at_once(self, size: int) -> bool:
-        """Whether the peer's windows allow so many bytes on a stream whose headers are not sent yet."""
+    def fits_send_window(self, size: int) -> bool:
+        """Whether the peer's windows allow `size` bytes on a stream whose headers are not sent yet."""
         state = self._connection.state
         return size <= min(state.remote_settings.initial_window_size, state.outbound_flow_control_window)
 
@@ -142,30 +142,30 @@
         await self.send(b"", end=True)
 
     async def cancel(self, code: int = Codes.CANCEL) -> None:
-        """Give the stream up; nothing happens where it is over."""
+        """Resets the stream unless it has finished, and removes it from the connection."""
         self._chunks.clear()
-        if not self.over:
+        if not self.finished:
             self.reset = StreamReset(code, text="given up here")
             self._connection.reset(self, code)
-            with anyio.move_on_after(_LAST_WORD_S):
+            with anyio.move_on_after(_RESET_FLUSH_TIMEOUT_S):
                 await self._connection.flush()
-        self._connection.forget(self)
-        self._tell()
+        self._connection.remove(self)
+        self._notify()
 
-    def drop(self) -> None:
-        """Forget a stream that is over."""
+    def discard(self) -> None:
+        """Removes a finished stream from the connection."""
         self._chunks.clear()
-        self._connection.forget(self)
+        self._connection.remove(self)
 
-    def _check(self) -> None:
+    def _check_open(self) -> None:
         if self.reset:
             raise self.reset
-        if self._connection.gone:
+        if self._connection.closed:
             raise StreamReset(Codes.CONNECT_ERROR, text="the connection is gone")
 
 
 class Http2Connection:
-    """One connection. `run` reads it until it ends; `on_stream` is called for each stream that a client opens."""
+    """One connection. `run` reads it until it ends; `on_stream` is called for each stream that the peer opens."""
 
     def __init__(
         self,
@@ -179,7 +179,7 @@
         config = h2.config.H2Configuration(
             client_side=client,
             header_encoding=False,
-            # What is sent was read by h2 from the other side, or is made here in the form that it is to have.
+            # Outbound headers were validated by h2 on receipt or are built in normal form by this program.
             validate_outbound_headers=False,
             normalize_outbound_headers=False,
         )
@@ -196,16 +196,16 @@
             },
         )
         self.streams: dict[int, Http2Stream] = {}
-        self._conduct = Conduct()
+        self._limiter = PeerLimiter()
         self._lock = anyio.Lock()
-        self._owed = 0  # bytes of the connection's window that are not given back yet
-        self._out = bytearray()  # what the kernel has not taken yet
-        self._reading = anyio.CancelScope()
-        self.gone = False  # nothing can be sent any more
-        self.draining = False  # no new streams, by a GOAWAY of either side
-        self.fault: str = ""  # what the peer broke
-        self.idle_since = self._heard_at = clock.now()
-        self._asked_at = 0.0
+        self._unacknowledged_bytes = 0  # not yet returned to the peer's connection window
+        self._unsent = bytearray()  # not yet accepted by the kernel
+        self._read_scope = anyio.CancelScope()
+        self.closed = False  # nothing can be sent
+        self.draining = False  # a GOAWAY of either side forbids new streams
+        self.close_reason: str = ""  # for the GOAWAY and the log
+        self.idle_since = self._received_at = clock.now()
+        self._ping_sent_at = 0.0
 
     async def start(self) -> None:
         self.state.initiate_connection()
@@ -214,149 +214,153 @@
 
     @property
     def can_open(self) -> bool:
-        """Whether one more stream may be opened here, by the peer's word."""
-        if self.draining or self.gone:
+        """Whether this side may open another stream within the limits of the peer and its own."""
+        if self.draining or self.closed:
             return False
         return self.state.open_outbound_streams < min(
             self.state.remote_settings.max_concurrent_streams, self._limits.streams
         )
 
     def open(self) -> Http2Stream:
-        """A new stream of this side."""
+        """Opens a stream from this side."""
         stream = Http2Stream(self, self.state.get_next_available_stream_id())
         self.streams[stream.number] = stream
         return stream
 
     async def run(self) -> None:
-        """Read until the connection ends; every stream hears of that."""
+        """Reads until the connection ends, then fails every open stream."""
         try:
-            with self._reading:
+            with self._read_scope:
                 await self._read()
         except OSError:
             pass
-        except h2.exceptions.ProtocolError as err:  # this side's state and the peer's have parted
-            self.fault = f"{type(err).__name__}: {err}"[:200]
+        except h2.exceptions.ProtocolError as err:  # this side's state is out of step with the peer's
+            self.close_reason = f"{type(err).__name__}: {err}"[:200]
         finally:
-            self.gone = self.draining = True
+            self.closed = self.draining = True
             for stream in list(self.streams.values()):
-                self._break(stream, StreamReset(Codes.CONNECT_ERROR, text=self.fault or "the connection broke"))
+                self._fail_stream(
+                    stream, StreamReset(Codes.CONNECT_ERROR, text=self.close_reason or "the connection broke")
+                )
             self.streams.clear()
-            # Guards against a descriptor that is closed while a sender still waits on it: the number may be another
-            # socket's by then. The shutdown ends such a wait.
+            # Shutting down wakes a sender that waits for the socket. Closing the descriptor under that wait would let
+            # it continue on another socket that was given the same number.
             self._link.shut_down()
             with anyio.CancelScope(shield=True):
                 async with self._lock:
                     self._link.close()
 
     async def _read(self) -> None:
-        """Until the peer ends the connection, or breaks its rules."""
+        """Reads until the peer ends the connection or breaks the protocol."""
         reads = 0
-        while not self.gone:
+        while not self.closed:
             data = await self._link.receive()
             if not data:
                 break
-            self._heard_at = self._clock.now()
-            if (reads := reads + 1) % _READS_A_TURN == 0:
+            self._received_at = self._clock.now()
+            if (reads := reads + 1) % _READS_PER_YIELD == 0:
                 await anyio.sleep(0)
             try:
                 events = self.state.receive_data(data)
             except h2.exceptions.ProtocolError as err:
-                self.fault = f"{type(err).__name__}: {err}"[:200]
-                await self._last_flush()
+                self.close_reason = f"{type(err).__name__}: {err}"[:200]
+                await self._final_flush()
                 break
             if any(isinstance(event, h2.events.ConnectionTerminated) for event in events):
-                self._reopen()  # before the events that came with it are acted upon
+                self._restore_open_state()  # before the events of the same read are handled
             for event in events:
                 self._handle(event)
-            if self.fault:
-                self.state.close_connection(Codes.ENHANCE_YOUR_CALM, self.fault.encode()[:100])
-                await self._last_flush()
+            if self.close_reason:
+                self.state.close_connection(Codes.ENHANCE_YOUR_CALM, self.close_reason.encode()[:100])
+                await self._final_flush()
                 break
             await self.flush()
 
-    async def _last_flush(self) -> None:
+    async def _final_flush(self) -> None:
         with anyio.move_on_after(0.5):
             await self.flush()
 
     async def flush(self) -> None:
-        """Hand to the kernel what is ready, in order; waits while the peer does not read."""
-        if not self._lock.locked() and self._push():
+        """Writes pending frames to the socket in order; waits while the peer does not read."""
+        if not self._lock.locked() and self._send_available():
             return
         async with self._lock:
             while True:
-                self._out += self.state.data_to_send()
-                if self.gone or not self._out:
+                self._unsent += self.state.data_to_send()
+                if self.closed or not self._unsent:
                     return
                 try:
-                    # Guards the connection against a sender that is cancelled in the middle of a frame: what the
-                    # kernel has not taken stays here for whoever sends next.
-                    if sent := self._link.send_some(self._out):
-                        del self._out[:sent]
-                    elif len(self._out) > _MOST_UNSENT:
+                    # A sender may be cancelled in the middle of a frame: bytes that the kernel did not
+                    # accept stay buffered for the next sender, else the peer would read a corrupt frame.
+                    if sent := self._link.send_some(self._unsent):
+                        del self._unsent[:sent]
+                    elif len(self._unsent) > _MAX_UNSENT_BYTES:
                         raise ConnectionResetError("the peer does not read what it makes this side answer")
                     else:
                         await self._link.wait_writable()
                 except OSError:
-                    self._lose()
+                    self._mark_lost()
                     return
 
-    def _push(self) -> bool:
-        """Hand to the kernel what it takes at once; whether nothing is left. Only while nobody else is at it."""
-        self._out += self.state.data_to_send()
-        if not self.gone and self._out:
+    def _send_available(self) -> bool:
+        """Writes what the kernel accepts without waiting; returns whether nothing remains. The lock must be free."""
+        self._unsent += self.state.data_to_send()
+        if not self.closed and self._unsent:
             try:
-                del self._out[: self._link.send_some(self._out)]
+                del self._unsent[: self._link.send_some(self._unsent)]
             except OSError:
-                self._lose()
-        return self.gone or not self._out
+                self._mark_lost()
+        return self.closed or not self._unsent
 
-    def _lose(self) -> None:
-        self.gone = self.draining = True
-        self._reading.cancel()
+    def _mark_lost(self) -> None:
+        self.closed = self.draining = True
+        self._read_scope.cancel()
 
-    def look_alive(self) -> None:
-        """Guards streams against a peer that is gone without a word: one that was long quiet is asked whether it is
-        there, and its streams break where it does not answer. To be called now and then."""
+    def check_liveness(self) -> None:
+        """Detects a peer that disappeared without closing the connection, whose streams would otherwise never end.
+
+        Pings a peer that was silent for `quiet_ms`, and closes the connection if no answer comes. To be called
+        periodically."""
         now = self._clock.now()
-        if self.gone or not self.streams or not self._limits.quiet_ms:
+        if self.closed or not self.streams or not self._limits.quiet_ms:
             return
-        if self._asked_at > self._heard_at:
-            if now - self._asked_at > self._limits.answer_ms:
-                self.fault = "the peer does not answer a ping"
+        if self._ping_sent_at > self._received_at:
+            if now - self._ping_sent_at > self._limits.answer_ms:
+                self.close_reason = "the peer does not answer a ping"
                 self.close()
-        elif now - self._heard_at > self._limits.quiet_ms:
-            self._asked_at = now
+        elif now - self._received_at > self._limits.quiet_ms:
+            self._ping_sent_at = now
             self.state.ping(b"is there")
-            if not self._lock.locked():  # else whoever holds it takes the ping along
-                self._push()
+            if not self._lock.locked():  # else the holder of the lock sends the ping
+                self._send_available()
 
     async def goaway(self) -> None:
-        """No new streams from the peer: what it opens from now on never runs. Open ones go on."""
-        if not self.gone and not self.draining:
+        """Refuses new streams from the peer, which are never processed. Open streams continue."""
+        if not self.closed and not self.draining:
             self.draining = True
-            # Streams that cross this on the wire are refused one by one.
+            # Streams that the peer opens before it reads the GOAWAY are refused one by one.
             self.state.close_connection(last_stream_id=self.state.highest_inbound_stream_id)
-            self._reopen()
+            self._restore_open_state()
             await self.flush()
 
-    def _reopen(self) -> None:
-        """h2 counts a connection as closed from a GOAWAY on; by the protocol its open streams go on."""
+    def _restore_open_state(self) -> None:
+        """Undoes h2's change to the closed state at a GOAWAY: by the protocol, open streams continue."""
         states = h2.connection.ConnectionState
         self.state.state_machine.state = states.CLIENT_OPEN if self.state.config.client_side else states.SERVER_OPEN
 
     def close(self) -> None:
-        self.gone = self.draining = True
+        self.closed = self.draining = True
         for stream in list(self.streams.values()):
-            self._break(stream, StreamReset(Codes.CANCEL, text="the connection is closed"))
-        self._reading.cancel()  # `run` closes the socket: only who waits on it may
-
-    async def taken(self, stream: Http2Stream, size: int) -> None:
-        stream.owed += size
-        if stream.reset or self.gone or stream.owed < self._limits.stream_window // 2:
-            return  # guards the CPU: half a window at a time keeps the peer going, with a frame for many
-        owed, stream.owed = stream.owed, 0
+            self._fail_stream(stream, StreamReset(Codes.CANCEL, text="the connection is closed"))
+        self._read_scope.cancel()  # `run` closes the socket, since only the task that reads from it may
+
+    async def acknowledge(self, stream: Http2Stream, size: int) -> None:
+        stream.unacknowledged_bytes += size
+        if stream.reset or self.closed or stream.unacknowledged_bytes < self._limits.stream_window // 2:
+            return  # one WINDOW_UPDATE per half window saves CPU and does not stall the peer
+        unacknowledged_bytes, stream.unacknowledged_bytes = stream.unacknowledged_bytes, 0
         try:
-            self.state.increment_flow_control_window(owed, stream.number)
+            self.state.increment_flow_control_window(unacknowledged_bytes, stream.number)
         except h2.exceptions.ProtocolError:
             return
         await self.flush()
@@ -367,59 +371,59 @@
         except h2.exceptions.ProtocolError:
             pass
 
-    def forget(self, stream: Http2Stream) -> None:
+    def remove(self, stream: Http2Stream) -> None:
         if self.streams.pop(stream.number, None) and not self.streams:
             self.idle_since = self._clock.now()
 
-    def _break(self, stream: Http2Stream, why: StreamReset) -> None:
+    def _fail_stream(self, stream: Http2Stream, error: StreamReset) -> None:
         if not stream.reset and not (stream.remote_ended and stream.local_ended):
-            stream.reset = why
-        stream._tell()
+            stream.reset = error
+        stream._notify()
 
-    def _count(self, act: Act) -> None:
-        if self._conduct.did(act, self._clock.now()):
-            self.fault = f"too many {act.value}"
+    def _count_action(self, action: PeerAction) -> None:
+        if self._limiter.exceeds_limit(action, self._clock.now()):
+            self.close_reason = f"too many {action.value}"
 
     def _handle(self, event: h2.events.Event) -> None:
         match event:
             case h2.events.RequestReceived() if event.stream_id is not None:
-                self._opened(event)
+                self._request_received(event)
             case h2.events.ResponseReceived() | h2.events.TrailersReceived():
                 if stream := self.streams.get(event.stream_id or 0):
-                    told = list(event.headers or ())
+                    received_headers = list(event.headers or ())
                     if isinstance(event, h2.events.TrailersReceived):
-                        stream.trailers = told
+                        stream.trailers = received_headers
                     else:
-                        stream.headers = told
-                    stream._tell()
+                        stream.headers = received_headers
+                    stream._notify()
             case h2.events.DataReceived():
-                self._data(event)
+                self._data_received(event)
             case h2.events.StreamEnded():
                 if stream := self.streams.get(event.stream_id or 0):
                     stream.remote_ended = True
-                    stream._tell()
+                    stream._notify()
             case h2.events.StreamReset():
                 if stream := self.streams.get(event.stream_id or 0):
                     if event.remote_reset:
-                        self._count(Act.RESET)
+                        self._count_action(PeerAction.RESET)
                     code = int(event.error_code or 0)
-                    self._break(stream, StreamReset(code, never_ran=code == Codes.REFUSED_STREAM))
+                    self._fail_stream(stream, StreamReset(code, never_ran=code == Codes.REFUSED_STREAM))
             case h2.events.WindowUpdated() | h2.events.RemoteSettingsChanged():
                 if isinstance(event, h2.events.RemoteSettingsChanged):
-                    self._count(Act.SETTINGS)
+                    self._count_action(PeerAction.SETTINGS)
                 for stream in list(self.streams.values()):
-                    stream._room.notify()
+                    stream._send_ready.notify()
             case h2.events.PingReceived():
-                self._count(Act.PING)
+                self._count_action(PeerAction.PING)
             case h2.events.ConnectionTerminated():
-                self._terminated(event)
+                self._goaway_received(event)
             case _:
                 pass
 
-    def _opened(self, event: h2.events.RequestReceived) -> None:
+    def _request_received(self, event: h2.events.RequestReceived) -> None:
         assert event.stream_id is not None
         stream = Http2Stream(self, event.stream_id)
-        if self.draining:  # it crossed our GOAWAY
+        if self.draining:  # opened before the peer read the GOAWAY
             self.reset(stream, Codes.REFUSED_STREAM)
             return
         stream.headers = list(event.headers or ())
@@ -428,28 +432,32 @@
         if self._on_stream:
             self._on_stream(stream)
 
-    def _data(self, event: h2.events.DataReceived) -> None:
+    def _data_received(self, event: h2.events.DataReceived) -> None:
         size, data = event.flow_controlled_length or 0, event.data or b""
-        self._owed += size  # the connection's window is given back whoever reads: a slow reader stalls its stream alone
-        if self._owed >= self._limits.connection_window // 2:
-            owed, self._owed = self._owed, 0
-            self.state.increment_flow_control_window(owed)
-        if len(data) < TINY and event.stream_ended is None:
-            self._count(Act.EMPTY)
+        self._unacknowledged_bytes += (
+            size  # returned whether or not it is read, so that a slow reader stalls its own stream only
+        )
+        if self._unacknowledged_bytes >= self._limits.connection_window // 2:
+            unacknowledged_bytes, self._unacknowledged_bytes = self._unacknowledged_bytes, 0
+            self.state.increment_flow_control_window(unacknowledged_bytes)
+        if len(data) < TINY_DATA_BYTES and event.stream_ended is None:
+            self._count_action(PeerAction.EMPTY)
         stream = self.streams.get(event.stream_id or 0)
         if stream is None:
-            self._count(Act.STRAY)
+            self._count_action(PeerAction.STRAY)
             return
         if data:
             stream._chunks.append((data, size))
-        stream._tell()
+        stream._notify()
 
-    def _terminated(self, event: h2.events.ConnectionTerminated) -> None:
-        """The peer's GOAWAY: streams above its last id never ran; the others go on."""
+    def _goaway_received(self, event: h2.events.ConnectionTerminated) -> None:
+        """Handles the peer's GOAWAY: streams above its last id were not processed; the others continue."""
         self.draining = True
         last = event.last_stream_id if event.last_stream_id is not None else 0
         for stream in list(self.streams.values()):
             if self.state.config.client_side and stream.number > last:
-                self._break(stream, StreamReset(int(event.error_code or 0), never_ran=True, text="above a GOAWAY"))
+                self._fail_stream(
+                    stream, StreamReset(int(event.error_code or 0), never_ran=True, text="above a GOAWAY")
+                )
         if event.error_code:
-            logger.debug("a peer's GOAWAY: {} {}", event.error_code, event.additional_data)
+            logger.debug("the peer sent GOAWAY with error {}: {}", event.error_code, event.additional_data)
--- a/tests/grpc_/test_codec.py
+++ b/tests/grpc_/test_codec.py
@@ -1,4 +1,4 @@
-"""The gRPC codec, the status table, routes, conduct and memory: bytes and facts alone."""
+"""The gRPC codec, the status table, routes, peer limits and call history, without I/O."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from calicohitch.grpc.status import Meaning, Status, meaning, of_http, read_pushback, read_retry_info, read_status
 from calicohitch.interface import Outcome
 from calicohitch.journal import Attempt, Entry
-from calicohitch.wire.conduct import Act, Conduct
+from calicohitch.wire.peer_limits import PeerAction, PeerLimiter
 
 
 class Codec(unittest.TestCase):
@@ -226,13 +226,17 @@
             self.assertIs(caught.exception.status, status)
         self.assertEqual(clashes((Route("a", "b", 0, 1), Route("a", "b", 1, 2), Route("a", "c", 0, 1))), ["/a/b"])
 
-    def test_conduct_forgives_slowly(self) -> None:
-        conduct = Conduct()
-        self.assertEqual([conduct.did(Act.PING, 0.0) for _ in range(21)], [False] * 20 + [True])
-        fresh = Conduct()
-        self.assertFalse(any(fresh.did(Act.PING, n * 500.0) for n in range(1_000)))  # two a second for ever
-        self.assertFalse(any(fresh.did(Act.RESET, 0.0) for _ in range(100)))
-        self.assertTrue(fresh.did(Act.RESET, -5.0))  # a clock that stepped back forgives nothing
+    def test_peer_limits_recover_slowly(self) -> None:
+        limiter = PeerLimiter()
+        self.assertEqual([limiter.exceeds_limit(PeerAction.PING, 0.0) for _ in range(21)], [False] * 20 + [True])
+        fresh = PeerLimiter()
+        self.assertFalse(
+            any(fresh.exceeds_limit(PeerAction.PING, n * 500.0) for n in range(1_000))
+        )  # two a second are allowed without end
+        self.assertFalse(any(fresh.exceeds_limit(PeerAction.RESET, 0.0) for _ in range(100)))
+        self.assertTrue(
+            fresh.exceeds_limit(PeerAction.RESET, -5.0)
+        )  # a clock that steps back does not reduce the count
 
     def test_a_call_is_remembered_as_long_as_it_may_matter(self) -> None:
         def entry(number: int, deadline: float, *attempts: Attempt) -> Entry:
--- a/tests/grpc_/test_http2.py
+++ b/tests/grpc_/test_http2.py
@@ -1,4 +1,4 @@
-"""One HTTP/2 connection under cancellation and peers that do not read."""
+"""One HTTP/2 connection whose senders are cancelled, or whose peer does not read or has disappeared."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class Sending(unittest.TestCase):
-    def test_a_sender_that_is_cancelled_in_the_middle_of_a_frame_spoils_nothing(self) -> None:
-        """A peer with open windows that reads nothing for a while; a sender is cancelled while the kernel is full;
-        then the peer reads on, and every frame that it finds is whole."""
+    def test_cancelling_a_sender_in_the_middle_of_a_frame_corrupts_no_frame(self) -> None:
+        """The peer has open windows but does not read, so the socket buffer fills up and the sender is cancelled with
+        part of a frame written. When the peer reads again, every frame must be complete."""
 
         async def run() -> None:
             ours, theirs = socket.socketpair()
@@ -30,16 +30,18 @@
                 peer.increment_flow_control_window(1 << 24)
                 theirs.sendall(peer.data_to_send())
                 connection = Http2Connection(_link(ours), Clock(), Http2Limits(), client=True)
-                seen: dict[int, int] = {}
+                received_bytes: dict[int, int] = {}
                 ended: set[int] = set()
 
                 async def read() -> None:
                     theirs.setblocking(False)
                     while len(ended) < 1:
                         await anyio.wait_readable(theirs)
-                        for event in peer.receive_data(theirs.recv(65_536)):  # raises where a frame is spoilt
+                        for event in peer.receive_data(theirs.recv(65_536)):  # raises if a frame is corrupt
                             if isinstance(event, h2.events.DataReceived):
-                                seen[event.stream_id or 0] = seen.get(event.stream_id or 0, 0) + len(event.data or b"")
+                                received_bytes[event.stream_id or 0] = received_bytes.get(
+                                    event.stream_id or 0, 0
+                                ) + len(event.data or b"")
                                 peer.acknowledge_received_data(event.flow_controlled_length or 0, event.stream_id or 0)
                             elif isinstance(event, h2.events.StreamEnded):
                                 ended.add(event.stream_id or 0)
@@ -58,7 +60,7 @@
                         self.assertTrue(scope.cancelled_caught)
                         began = anyio.current_time()
                         await first.cancel()
-                        self.assertLess(anyio.current_time() - began, 1.0)  # a reset does not wait for such a peer
+                        self.assertLess(anyio.current_time() - began, 1.0)  # does not wait for the peer to read
                         tasks.start_soon(read)
                         second = connection.open()
                         await second.send_headers(head)
@@ -66,14 +68,14 @@
                         while not ended:
                             await anyio.sleep(0.01)
                         connection.close()
-                self.assertEqual((seen[second.number], ended), (100_000, {second.number}))
+                self.assertEqual((received_bytes[second.number], ended), (100_000, {second.number}))
 
         anyio.run(run)
 
 
-class Quiet(unittest.TestCase):
-    def play(self, answers: bool) -> bool:
-        """Whether a stream to a peer that is quiet, and that answers pings or does not, lasts."""
+class Liveness(unittest.TestCase):
+    def stays_open_when_quiet(self, answers: bool) -> bool:
+        """Whether a stream to a silent peer stays open, depending on whether the peer answers pings."""
 
         async def run() -> bool:
             ours, theirs = socket.socketpair()
@@ -93,32 +95,34 @@
                         [(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/a"), (b":authority", b"x")]
                     )
                     await anyio.sleep(0.05)
-                    connection.look_alive()  # not long quiet yet: nothing is asked
+                    connection.check_liveness()  # not silent for long enough: no ping is sent
                     clock.advance(1_001.0)
-                    connection.look_alive()
+                    connection.check_liveness()
                     events: list[h2.events.Event] = []
                     while not any(isinstance(event, h2.events.PingReceived) for event in events):
                         events += peer.receive_data(theirs.recv(65_536))
                     if answers:
                         theirs.sendall(peer.data_to_send())
                         clock.advance(1.0)
-                        while connection._heard_at < clock.now():
+                        while connection._received_at < clock.now():
                             await anyio.sleep(0.01)
                     clock.advance(201.0)
-                    connection.look_alive()
-                    lasts = not connection.gone and stream.reset is None
+                    connection.check_liveness()
+                    stays_open = not connection.closed and stream.reset is None
                     connection.close()
-                return lasts
+                return stays_open
 
         with self.subTest(answers=answers):
             return anyio.run(run)
 
-    def test_a_peer_that_is_gone_without_a_word_is_found_and_one_that_is_merely_quiet_is_kept(self) -> None:
-        self.assertEqual((self.play(answers=True), self.play(answers=False)), (True, False))
+    def test_a_silent_peer_is_disconnected_only_if_it_does_not_answer_a_ping(self) -> None:
+        self.assertEqual(
+            (self.stays_open_when_quiet(answers=True), self.stays_open_when_quiet(answers=False)), (True, False)
+        )
 
 
 def _link(sock: socket.socket) -> Link:
-    link = Link.__new__(Link)  # a pair of Unix sockets knows no TCP option
+    link = Link.__new__(Link)  # the TCP options that Link sets do not exist on a Unix socket pair
     sock.setblocking(False)
     link._sock = sock
     return link
