--- a/calicohitch/grpc/__init__.py
+++ b/calicohitch/grpc/__init__.py
@@ -1,4 +1,4 @@
-"""gRPC passed through: the codec, the status table, routes, and the calls on both sides of the core.
+"""gRPC pass-through: codec, status table, routes, and the calls from clients and to endpoints.
 
 Source: the published gRPC over HTTP/2 specification and its guides on status codes, retries and health.
 """
--- a/calicohitch/grpc/codec.py
+++ b/calicohitch/grpc/codec.py
@@ -1,7 +1,7 @@
-"""gRPC on HTTP/2, as bytes and header lists: framing, time-outs, messages, metadata. No I/O.
+"""gRPC on HTTP/2 as bytes and header lists: framing, timeouts, status messages, metadata. No I/O.
 
-Messages pass through as they came, their compression flag and encoding included: nothing is ever decompressed here,
-so a compressed bomb is a few bytes like any other.
+Messages are forwarded unchanged, with their compression flag and encoding. Nothing is decompressed, so a
+decompression bomb costs no more than its compressed size.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 PREFIX_SIZE = _PREFIX.size
 _TIMEOUT = re.compile(rb"([0-9]{1,8})([HMSmun])")
 _UNITS_MS = {b"H": 3_600_000.0, b"M": 60_000.0, b"S": 1_000.0, b"m": 1.0, b"u": 1e-3, b"n": 1e-6}
-_LONGEST_MS = 10 * 365 * 86_400_000.0
-_KEY = re.compile(rb"[0-9a-z_.\-]{1,256}")
-_PLAIN = re.compile(rb"[ -~]*")
+_MAX_TIMEOUT_MS = 10 * 365 * 86_400_000.0
+_METADATA_KEY = re.compile(rb"[0-9a-z_.\-]{1,256}")
+_PRINTABLE_ASCII = re.compile(rb"[ -~]*")
 _PATH = re.compile(rb"/([A-Za-z0-9_.\-]{1,255})/([A-Za-z0-9_.\-]{1,255})")
 
 
 class CodecError(Exception):
-    """What a peer sent breaks the protocol; `status` is what it is told."""
+    """A peer broke the protocol; `status` is the status code for it, and the text becomes the `grpc-message`."""
 
     def __init__(self, status: Status, text: str) -> None:
         super().__init__(text)
@@ -37,25 +37,26 @@
 
 
 class Deframer:
-    """Finds the messages in a stream's data, each given whole with its prefix. Holds one message at most, and a
-    length prefix that promises more than that is refused before its first byte."""
+    """Splits a stream's data into messages, each with its prefix. Buffers one message at most: a length prefix above
+    the limit is refused before the message arrives."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, max_message_bytes: int) -> None:
+        self._max_message_bytes = max_message_bytes
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The messages that are whole by now. CodecError: RESOURCE_EXHAUSTED for one that is too long, INTERNAL
-        for a flag that is none."""
+        """Returns the messages that are complete. Raises CodecError: RESOURCE_EXHAUSTED if a message is too long,
+        INTERNAL if its compression flag is invalid."""
         self._buffer += data
         found = []
         while len(self._buffer) >= PREFIX_SIZE:
             flag, length = _PREFIX.unpack_from(self._buffer)
             if flag > 1:
                 raise CodecError(Status.INTERNAL, f"a message begins with the flag {flag}, which is neither 0 nor 1")
-            if length > self._most:
+            if length > self._max_message_bytes:
                 raise CodecError(
-                    Status.RESOURCE_EXHAUSTED, f"a message of {length} bytes; {self._most} are passed through at most"
+                    Status.RESOURCE_EXHAUSTED,
+                    f"a message of {length} bytes; {self._max_message_bytes} are passed through at most",
                 )
             if len(self._buffer) < PREFIX_SIZE + length:
                 break
@@ -64,7 +65,7 @@
         return found
 
     def end(self) -> None:
-        """The stream ended: CodecError where that was in the middle of a message."""
+        """Marks the end of the stream; raises CodecError in the middle of a message."""
         if self._buffer:
             raise CodecError(Status.INTERNAL, "the stream ended in the middle of a message")
 
@@ -73,16 +74,16 @@
     return _PREFIX.pack(compressed, len(message)) + message
 
 
-def read_timeout(text: bytes) -> float:
-    """Milliseconds of a `grpc-timeout`; CodecError for anything but at most 8 digits and a unit."""
+def parse_timeout(text: bytes) -> float:
+    """Parses a `grpc-timeout` into milliseconds; CodecError unless it is 1 to 8 digits and a unit."""
     match = _TIMEOUT.fullmatch(text)
     if match is None:
         raise CodecError(Status.INVALID_ARGUMENT, f"grpc-timeout {text[:40]!r} is not 1 to 8 digits and one of HMSmun")
-    return min(int(match[1]) * _UNITS_MS[match[2]], _LONGEST_MS)
+    return min(int(match[1]) * _UNITS_MS[match[2]], _MAX_TIMEOUT_MS)
 
 
-def timeout(ms: float) -> bytes:
-    """A `grpc-timeout` that is never longer than `ms`, but at least a nanosecond."""
+def encode_timeout(ms: float) -> bytes:
+    """Encodes milliseconds as a `grpc-timeout`, rounded down, but not below one nanosecond."""
     for unit, scale in ((b"n", 1e-6), (b"u", 1e-3), (b"m", 1.0), (b"S", 1e3), (b"M", 6e4), (b"H", 3.6e6)):
         count = math.floor(ms / scale + 1e-9)
         if count < 100_000_000:
@@ -91,29 +92,29 @@
 
 
 def encode_message(text: str) -> bytes:
-    """A `grpc-message`: percent-encoded UTF-8."""
+    """Encodes a `grpc-message` as percent-encoded UTF-8."""
     return b"".join(bytes([c]) if 0x20 <= c <= 0x7E and c != 0x25 else b"%%%02X" % c for c in text.encode())
 
 
 def decode_message(data: bytes) -> str:
-    """What a `grpc-message` says. By the specification nothing is lost to a broken encoding: it is kept as it is."""
-    out, at = bytearray(), 0
-    while at < len(data):
-        if data[at] == 0x25 and re.fullmatch(rb"[0-9A-Fa-f]{2}", data[at + 1 : at + 3]):
-            out.append(int(data[at + 1 : at + 3], 16))
-            at += 3
+    """Decodes a `grpc-message`. As the specification requires, an invalid escape is kept unchanged."""
+    out, position = bytearray(), 0
+    while position < len(data):
+        if data[position] == 0x25 and re.fullmatch(rb"[0-9A-Fa-f]{2}", data[position + 1 : position + 3]):
+            out.append(int(data[position + 1 : position + 3], 16))
+            position += 3
         else:
-            out.append(data[at])
-            at += 1
+            out.append(data[position])
+            position += 1
     return out.decode("utf-8", "replace")
 
 
 def decode_binary(value: bytes) -> list[bytes]:
-    """The values of a `-bin` key: base64 with or without padding, several joined by commas."""
+    """Decodes the values of a `-bin` key: base64 with or without padding, separated by commas."""
     try:
         return [
             base64.b64decode(part + b"=" * (-len(part) % 4), validate=True)
-            for part in (it.strip() for it in value.split(b","))
+            for part in (item.strip() for item in value.split(b","))
         ]
     except (binascii.Error, ValueError) as err:
         raise CodecError(Status.INTERNAL, f"a -bin value is no base64: {err}") from err
@@ -123,9 +124,9 @@
     return base64.b64encode(value).rstrip(b"=")
 
 
-# Metadata. What belongs to one hop stays there; the relay adds its own.
+# Hop-by-hop headers are not forwarded; the relay sets its own.
 
-_OF_A_HOP = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         b"te",
         b"connection",
@@ -143,15 +144,15 @@
 )
 
 
-def metadata(headers: Headers, also: Iterable[bytes] = ()) -> list[tuple[bytes, bytes]]:
-    """What is passed on of a peer's headers or trailers: custom metadata and the content's own headers, in order."""
-    left_out = _OF_A_HOP | set(also)
-    return [(name, value) for name, value in headers if not name.startswith(b":") and name not in left_out]
+def forwarded_metadata(headers: Headers, exclude: Iterable[bytes] = ()) -> list[tuple[bytes, bytes]]:
+    """Returns the headers or trailers to forward, in order: custom metadata and headers that describe the content."""
+    excluded = _HOP_BY_HOP_HEADERS | set(exclude)
+    return [(name, value) for name, value in headers if not name.startswith(b":") and name not in excluded]
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """What a call's headers say. `timeout_ms` is None where the client sets none."""
+    """A call's parsed headers. `timeout_ms` is None if the client set no timeout."""
 
     service: str
     method: str
@@ -166,29 +167,29 @@
         return next((value for key, value in self.headers if key == name), None)
 
 
-def read_request(headers: Headers) -> Request:
-    """CodecError tells the client what is wrong with its call."""
-    told = {name: value for name, value in headers if name.startswith(b":")}
-    path = _PATH.fullmatch(told.get(b":path", b""))
-    if told.get(b":method") != b"POST" or path is None:
+def parse_request(headers: Headers) -> Request:
+    """Parses a call's headers; raises CodecError, which is sent to the client, if they are invalid."""
+    pseudo_headers = {name: value for name, value in headers if name.startswith(b":")}
+    path = _PATH.fullmatch(pseudo_headers.get(b":path", b""))
+    if pseudo_headers.get(b":method") != b"POST" or path is None:
         raise CodecError(Status.UNIMPLEMENTED, "calls are POST /service/method")
     content = next((value for name, value in headers if name == b"content-type"), b"")
     if not content.startswith(b"application/grpc") or content[16:17] not in (b"", b"+", b";"):
         raise CodecError(Status.INVALID_ARGUMENT, "the content type is not application/grpc")
     for name, value in headers:
-        if not name.startswith(b":") and not (_KEY.fullmatch(name) and _PLAIN.fullmatch(value)):
+        if not name.startswith(b":") and not (_METADATA_KEY.fullmatch(name) and _PRINTABLE_ASCII.fullmatch(value)):
             raise CodecError(Status.INTERNAL, f"the metadata {name[:40]!r} cannot be passed on")
-    given = [value for name, value in headers if name == b"grpc-timeout"]
-    return Request(path[1].decode(), path[2].decode(), read_timeout(given[0]) if given else None, headers)
+    timeouts = [value for name, value in headers if name == b"grpc-timeout"]
+    return Request(path[1].decode(), path[2].decode(), parse_timeout(timeouts[0]) if timeouts else None, headers)
 
 
 def trailers(status: Status, text: str = "", more: Headers = ()) -> list[tuple[bytes, bytes]]:
-    made = [(b"grpc-status", str(int(status)).encode())]
+    fields = [(b"grpc-status", str(int(status)).encode())]
     if text:
-        made.append((b"grpc-message", encode_message(text)))
-    return [*made, *more]
+        fields.append((b"grpc-message", encode_message(text)))
+    return [*fields, *more]
 
 
 def trailers_only(status: Status, text: str = "", more: Headers = ()) -> list[tuple[bytes, bytes]]:
-    """A whole answer in one block of headers."""
+    """Builds a complete response in one header block."""
     return [(b":status", b"200"), (b"content-type", b"application/grpc"), *trailers(status, text, more)]
--- a/calicohitch/grpc/health.py
+++ b/calicohitch/grpc/health.py
@@ -1,4 +1,4 @@
-"""`grpc.health.v1`: the two small messages of the published health protocol. No I/O."""
+"""The request and the response of the `grpc.health.v1` protocol. No I/O."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 def answer(body: bytes, services: set[str], serving: bool) -> bytes | None:
-    """The HealthCheckResponse for a framed HealthCheckRequest (service = 1, a text; "" is the whole server); None for
-    a service that is not known."""
+    """Returns the HealthCheckResponse for a framed HealthCheckRequest (field 1 is the service name; "" is the whole
+    server), or None for an unknown service."""
     message = body[PREFIX_SIZE:]
     name = ""
     if message[:1] == b"\x0a" and len(message) >= 2 and len(message) == 2 + message[1]:
--- a/calicohitch/grpc/intake.py
+++ b/calicohitch/grpc/intake.py
@@ -1,4 +1,4 @@
-"""The gRPC server that clients call: each call stays open until its message's one end."""
+"""The gRPC server for clients. Each call stays open until the end of its message is decided."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from ..net.http import Link
 from ..net.relay import Relay
 from ..wire.http2 import Codes, Headers, Http2Connection, Http2Limits, Http2Stream, StreamReset
-from .codec import CodecError, frame, read_request, trailers, trailers_only
+from .codec import CodecError, frame, parse_request, trailers, trailers_only
 from .health import answer as health_answer
 from .health import is_health
-from .pipe import Answer, Pipe, first_of
-from .routes import Routed, Routes
+from .pipe import Answer, Pipe, first_error
+from .routes import RoutedCall, Routes
 from .settings import GrpcSettings
 from .status import Status
 
 PROTOCOL = 1
-_ROOM_S = 0.02
-_WATCH_S = 0.1
-_LOOK_S = 1.0
+_ACCEPT_RETRY_S = 0.02
+_HEALTH_WATCH_INTERVAL_S = 0.1
+_LIVENESS_CHECK_INTERVAL_S = 1.0
 
 
 def pushback(ms: float) -> Headers:
@@ -35,8 +35,8 @@
 
 
 @dataclass(eq=False, slots=True)
-class _Waiting:
-    """The reply of one call. Its end is news of its stream like any other, so that one task can wait for both."""
+class _PendingReply:
+    """The reply of one call. Its end notifies the waiters of the stream, so that one task can wait for both."""
 
     stream: Http2Stream
     end: MessageEnd | None = None
@@ -45,14 +45,14 @@
         self.end = end
         self.stream.changes.notify()
 
-    async def over(self) -> None:
-        """Until the call has its end, or its client gives up."""
+    async def wait_ended(self) -> None:
+        """Waits until the message has ended, or the client has reset the call."""
         while self.end is None and not self.stream.reset:
             await self.stream.changes.wait()
 
 
 class GrpcIntake:
-    """Accepts connections; a fault in one ends that one only."""
+    """Accepts connections; an error in one ends only that connection."""
 
     def __init__(
         self,
@@ -62,17 +62,23 @@
         listener: socket.socket,
         clock: Clock,
     ) -> None:
-        self._relay, self._set, self._classes, self._listener, self._clock = relay, settings, classes, listener, clock
+        self._relay, self._settings, self._classes, self._listener, self._clock = (
+            relay,
+            settings,
+            classes,
+            listener,
+            clock,
+        )
         self._routes = Routes(settings.routes)
         self._connections: set[Http2Connection] = set()
         self.open_calls = 0
 
     async def run(self) -> None:
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._look_alive)
+            tasks.start_soon(self._check_connections)
             while True:
-                if len(self._connections) >= self._set.connections:  # the others wait in the backlog
-                    await anyio.sleep(_ROOM_S)
+                if len(self._connections) >= self._settings.connections:  # further ones wait in the listen backlog
+                    await anyio.sleep(_ACCEPT_RETRY_S)
                     continue
                 try:
                     sock, _ = self._listener.accept()
@@ -81,19 +87,19 @@
                     continue
                 except OSError as err:
                     if trouble(err, Step.ACCEPT).retry is not Retry.AT_ONCE:
-                        logger.warning("gRPC accept: {}", err)
-                        await anyio.sleep(_ROOM_S)
+                        logger.warning("accepting a gRPC connection failed: {}", err)
+                        await anyio.sleep(_ACCEPT_RETRY_S)
                     continue
                 tasks.start_soon(self._serve, sock)
 
-    async def _look_alive(self) -> None:
+    async def _check_connections(self) -> None:
         while True:
-            await anyio.sleep(_LOOK_S)
+            await anyio.sleep(_LIVENESS_CHECK_INTERVAL_S)
             for connection in list(self._connections):
                 connection.check_liveness()
 
     async def drain(self) -> None:
-        """No new streams; those that are open go on."""
+        """Refuses new streams; open ones continue."""
         for connection in list(self._connections):
             await connection.goaway()
 
@@ -106,16 +112,16 @@
                     tasks.start_soon(self._stream, stream)
 
                 limits = Http2Limits(
-                    streams=self._set.streams, quiet_ms=self._set.quiet_ms, answer_ms=self._set.answer_ms
+                    streams=self._settings.streams, quiet_ms=self._settings.quiet_ms, answer_ms=self._settings.answer_ms
                 )
                 connection = Http2Connection(Link(sock), self._clock, limits, client=False, on_stream=start)
                 self._connections.add(connection)
                 await connection.start()
                 await connection.run()
                 if connection.close_reason:
-                    logger.bind(event="grpc.rude").info("a gRPC connection was ended: {}", connection.close_reason)
-        except Exception:  # guards all other connections
-            logger.exception("a gRPC connection broke off")
+                    logger.bind(event="grpc.rude").info("closed a gRPC connection: {}", connection.close_reason)
+        except Exception:  # must not end the other connections
+            logger.exception("unexpected error in a gRPC connection")
         finally:
             if connection:
                 self._connections.discard(connection)
@@ -126,29 +132,29 @@
         try:
             await self._call(stream)
         except CodecError as err:
-            await self._say(stream, trailers_only(err.status, str(err)))
+            await self._send_end_headers(stream, trailers_only(err.status, str(err)))
         except StreamReset:
             pass
-        except Exception:  # guards the other calls of the connection
-            logger.exception("a gRPC call broke off")
-            await self._say(stream, trailers_only(Status.INTERNAL, "a fault in the relay"))
+        except Exception:  # must not end the other calls of the connection
+            logger.exception("unexpected error in a gRPC call")
+            await self._send_end_headers(stream, trailers_only(Status.INTERNAL, "a fault in the relay"))
         finally:
             self.open_calls -= 1
             if stream.finished:
                 stream.discard()
             else:
                 with anyio.CancelScope(shield=True), anyio.move_on_after(1.0):
-                    # What the client still sends is no longer wanted: by the specification, after a whole answer.
+                    # The client may still be sending. By the specification NO_ERROR follows a complete response.
                     await stream.cancel(Codes.NO_ERROR if stream.local_ended else Codes.CANCEL)
 
-    async def _say(self, stream: Http2Stream, headers: Headers) -> None:
+    async def _send_end_headers(self, stream: Http2Stream, headers: Headers) -> None:
         try:
             await stream.send_headers(headers, end=True)
         except StreamReset:
             pass
 
     async def _call(self, stream: Http2Stream) -> None:
-        request = read_request(stream.headers or ())
+        request = parse_request(stream.headers or ())
         if is_health(request):
             await self._health(stream, request.method)
             return
@@ -156,123 +162,125 @@
             raise CodecError(Status.DEADLINE_EXCEEDED, "the call's time was over when it came")
         routed = self._routes.find(request)
         cls = self._classes[routed.route.class_index]
-        time_left = min(
+        time_remaining = min(
             request.timeout_ms if request.timeout_ms is not None else cls.deadline / 1e3, cls.deadline / 1e3
         )
         pipe = Pipe(
             request,
             stream,
-            max(self._set.keep, 1),
-            self._set.message,
-            self._clock.now() + time_left,
+            max(self._settings.keep, 1),
+            self._settings.message,
+            self._clock.now() + time_remaining,
             routed.route.streams,
         )
         if not routed.route.streams:
-            pipe.keep = max(pipe.keep, self._set.message)
-            await self._read_whole(pipe)
-        await self._hand_in(stream, pipe, routed, time_left)
+            pipe.buffer_limit_bytes = max(pipe.buffer_limit_bytes, self._settings.message)
+            await self._read_message(pipe)
+        await self._submit(stream, pipe, routed, time_remaining)
 
-    async def _read_whole(self, pipe: Pipe) -> None:
-        with anyio.move_on_after(self._set.whole_ms / 1e3):
+    async def _read_message(self, pipe: Pipe) -> None:
+        with anyio.move_on_after(self._settings.whole_ms / 1e3):
             await pipe.read()
         if not pipe.ended:
             raise CodecError(Status.DEADLINE_EXCEEDED, "the call's message took too long")
 
-    async def _hand_in(self, stream: Http2Stream, pipe: Pipe, routed: Routed, time_left: float) -> None:
-        if stream.reset:  # guards endpoints against a flood of calls that are given up as soon as they are made
+    async def _submit(self, stream: Http2Stream, pipe: Pipe, routed: RoutedCall, time_remaining: float) -> None:
+        if stream.reset:  # protects endpoints from a flood of calls that are reset as soon as they are opened
             raise stream.reset
-        waiting = _Waiting(stream)
-        again = (pipe.request.first(b"req-retry") or b"").strip()
-        told = Submission(
+        reply = _PendingReply(stream)
+        retry_mark = (pipe.request.first(b"req-retry") or b"").strip()
+        submission = Submission(
             routed.id or uuid.uuid4().hex,
             routed.route.class_index,
             routed.dest,
-            time_left,
+            time_remaining,
             routed.key,
             b"",
-            again in (b"1", b"again"),
-            again == b"again",
+            retry_mark in (b"1", b"again"),
+            retry_mark == b"again",
             pipe.request.headers,
             PROTOCOL,
-            waiting,
+            reply,
             pipe,
         )
-        number = self._relay.submit(told)
+        number = self._relay.submit(submission)
         if isinstance(number, Refusal):
-            await self._say(stream, self._refused(number))
+            await self._send_end_headers(stream, self._refusal_headers(number))
             return
-        self._relay.accept(number, told)
+        self._relay.accept(number, submission)
         broken: BaseException | None = None
         try:
             if pipe.ended:
-                await waiting.over()
+                await reply.wait_ended()
             else:
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(pipe.read)
-                    await waiting.over()
+                    await reply.wait_ended()
                     tasks.cancel_scope.cancel()
         except* (StreamReset, CodecError) as group:
-            broken = first_of(group)
+            broken = first_error(group)
         finally:
-            if waiting.end is None:
+            if reply.end is None:
                 pipe.cancel()
                 self._relay.cancel(number)
-        if waiting.end is not None:
-            await self._end(stream, pipe, waiting.end)
+        if reply.end is not None:
+            await self._send_end(stream, pipe, reply.end)
         elif broken or stream.reset:
             raise broken or stream.reset or StreamReset(Codes.CANCEL)
 
-    def _refused(self, why: Refusal) -> Headers:
-        if why is Refusal.NO_KEY:
-            return trailers_only(Status.INVALID_ARGUMENT, why.value)
-        if why in (Refusal.ALREADY_ACCEPTED, Refusal.BEING_SUBMITTED):
+    def _refusal_headers(self, refusal: Refusal) -> Headers:
+        if refusal is Refusal.NO_KEY:
+            return trailers_only(Status.INVALID_ARGUMENT, refusal.value)
+        if refusal in (Refusal.ALREADY_ACCEPTED, Refusal.BEING_SUBMITTED):
             return trailers_only(Status.ABORTED, "a call with this id is open")
-        return trailers_only(Status.UNAVAILABLE, why.value, pushback(why.retry_after_ms))
+        return trailers_only(Status.UNAVAILABLE, refusal.value, pushback(refusal.retry_after_ms))
 
-    async def _end(self, stream: Http2Stream, pipe: Pipe, end: MessageEnd) -> None:
-        """The one answer. An endpoint's own end is passed on as it is."""
+    async def _send_end(self, stream: Http2Stream, pipe: Pipe, end: MessageEnd) -> None:
+        """Sends the end of the call. The endpoint's own result is forwarded unchanged."""
         more: Headers = [(b"calicohitch-may-have-run", b"1")] if end.may_have_run and end.kind is EndKind.FAILED else []
         if isinstance(end.answer, Answer):
-            if end.answer.initial and not pipe.begun:
+            if end.answer.initial and not pipe.answer_started:
                 await stream.send_headers([(b":status", b"200"), *end.answer.initial])
-                pipe.begun = True
-            told = [*end.answer.trailers, *more]
+                pipe.answer_started = True
+            headers = [*end.answer.trailers, *more]
         elif end.kind is EndKind.REFUSED:
-            told = trailers(Status.UNAVAILABLE, "not delivered; it is harmless to call again", pushback(end.retry_in))
+            headers = trailers(
+                Status.UNAVAILABLE, "not delivered; it is harmless to call again", pushback(end.retry_in)
+            )
         elif self._clock.now() >= pipe.deadline:
-            told = trailers(Status.DEADLINE_EXCEEDED, "given up; an attempt may have run", more)
+            headers = trailers(Status.DEADLINE_EXCEEDED, "given up; an attempt may have run", more)
         else:
-            told = trailers(Status.UNKNOWN, "given up; an attempt may have run", more)
-        if not pipe.begun:
-            told = [
+            headers = trailers(Status.UNKNOWN, "given up; an attempt may have run", more)
+        if not pipe.answer_started:
+            headers = [
                 (b":status", b"200"),
                 (b"content-type", b"application/grpc"),
-                *(item for item in told if item[0] != b"content-type"),
+                *(item for item in headers if item[0] != b"content-type"),
             ]
-        await stream.send_headers(told, end=True)
+        await stream.send_headers(headers, end=True)
 
     async def _health(self, stream: Http2Stream, method: str) -> None:
-        """`grpc.health.v1`: Check answers once, Watch at every change until the client leaves."""
+        """Serves `grpc.health.v1`: Check answers once, Watch at each change until the client resets the stream."""
         body = bytearray()
         while (data := await stream.receive()) is not None:
             body += data
             if len(body) > 1_024:
                 raise CodecError(Status.INVALID_ARGUMENT, "a health request is short")
-        services = {route.service for route in self._set.routes}
+        services = {route.service for route in self._settings.routes}
 
-        def now() -> bytes | None:
+        def current_answer() -> bytes | None:
             return health_answer(bytes(body), services, self._relay.ready and not self._relay.stopping)
 
         if method not in ("Check", "Watch"):
             raise CodecError(Status.UNIMPLEMENTED, f"grpc.health.v1 has no {method}")
-        said = now()
-        if method == "Check" and said is None:
+        sent = current_answer()
+        if method == "Check" and sent is None:
             raise CodecError(Status.NOT_FOUND, "the service is not known")
         await stream.send_headers([(b":status", b"200"), (b"content-type", b"application/grpc")])
-        await stream.send(frame(said if said is not None else b"\x08\x03"))  # SERVICE_UNKNOWN
+        await stream.send(frame(sent if sent is not None else b"\x08\x03"))  # SERVICE_UNKNOWN
         while method == "Watch" and not stream.reset:
-            await anyio.sleep(_WATCH_S)
-            if (fresh := now()) != said:
-                said = fresh
-                await stream.send(frame(said if said is not None else b"\x08\x03"))
+            await anyio.sleep(_HEALTH_WATCH_INTERVAL_S)
+            if (changed := current_answer()) != sent:
+                sent = changed
+                await stream.send(frame(sent if sent is not None else b"\x08\x03"))
         await stream.send_headers(trailers(Status.OK), end=True)
--- a/calicohitch/grpc/routes.py
+++ b/calicohitch/grpc/routes.py
@@ -1,4 +1,4 @@
-"""Which class and destination a gRPC call is for, by its service and method. No I/O."""
+"""Selects the message class and the destination of a gRPC call by its service and method. No I/O."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """`method` "*" is any of the service. The destination is `dest`, or the number in the metadata `dest_key`.
-    `id_key` and `key_key` name the metadata that carries the message's id and its idempotency key. `streams`: the
-    client may send more than one message; the others are read whole before they are handed in."""
+    """`method` "*" matches any method. The destination is `dest`, or the number in the metadata `dest_key`. `id_key`
+    and `key_key` name the metadata with the message id and the idempotency key. `streams`: the client may send
+    more than one message; other calls are read completely before they are submitted."""
 
     service: str
     method: str
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Routed:
+class RoutedCall:
     route: Route
     dest: int
     id: str | None
@@ -33,13 +33,13 @@
 
 
 class Routes:
-    """Looks calls up: a route of the very method goes before one of the whole service."""
+    """Finds the route of a call; a route for the method takes precedence over one for the whole service."""
 
     def __init__(self, routes: tuple[Route, ...]) -> None:
         self._routes = {(route.service, route.method): route for route in routes}
 
-    def find(self, request: Request) -> Routed:
-        """CodecError with UNIMPLEMENTED where there is no route, INVALID_ARGUMENT where a call lacks what it needs."""
+    def find(self, request: Request) -> RoutedCall:
+        """Raises CodecError: UNIMPLEMENTED if there is no route, INVALID_ARGUMENT if required metadata is invalid."""
         route = self._routes.get((request.service, request.method)) or self._routes.get((request.service, "*"))
         if route is None:
             raise CodecError(Status.UNIMPLEMENTED, f"there is no route for {request.path.decode()}")
@@ -51,10 +51,12 @@
                     Status.INVALID_ARGUMENT, f"the metadata {route.dest_key} must be the number of a destination"
                 )
             dest = int(text)
-        return Routed(route, dest, self._token(request, route.id_key), self._token(request, route.key_key))
+        return RoutedCall(
+            route, dest, self._metadata_value(request, route.id_key), self._metadata_value(request, route.key_key)
+        )
 
     @staticmethod
-    def _token(request: Request, name: str) -> str | None:
+    def _metadata_value(request: Request, name: str) -> str | None:
         values = [value for key, value in request.headers if key == name.encode()]
         if not values:
             return None
@@ -64,11 +66,11 @@
 
 
 def clashes(routes: tuple[Route, ...]) -> list[str]:
-    """Services and methods that are named more than once."""
+    """Returns the paths of methods that have more than one route."""
     seen: set[tuple[str, str]] = set()
-    twice = []
+    duplicates = []
     for route in routes:
         if (route.service, route.method) in seen:
-            twice.append(f"/{route.service}/{route.method}")
+            duplicates.append(f"/{route.service}/{route.method}")
         seen.add((route.service, route.method))
-    return twice
+    return duplicates
--- a/calicohitch/grpc/settings.py
+++ b/calicohitch/grpc/settings.py
@@ -1,4 +1,4 @@
-"""What the operators say of gRPC. Sizes in bytes, times in milliseconds."""
+"""gRPC settings from the operator file. Sizes in bytes, times in milliseconds."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Speaker:
-    """Endpoints that take gRPC calls: those whose id, flavor and destination are as told; "" and None are any."""
+    """Selects endpoints that accept gRPC calls by id, flavor and destination; "" and None match any."""
 
     id: str = ""
     flavor: str = ""
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrpcSettings:
-    """`keep` bounds what is held of a client's messages for further attempts, `message` each message."""
+    """`keep` limits the bytes buffered of a call's messages for retries, `message` the size of each message."""
 
     listen: Address
     routes: tuple[Route, ...]
@@ -39,12 +39,12 @@
     message: int = 4 << 20
     connections: int = 256
     streams: int = 100
-    whole_ms: float = 2_000.0  # a call that is no stream has to be whole by then
-    quiet_ms: float = 300_000.0  # a peer with open calls that is silent for so long gets a ping; 0: never
-    answer_ms: float = 20_000.0  # and has to answer it by then
+    whole_ms: float = 2_000.0  # a call that is not a stream must be complete within this time
+    quiet_ms: float = 300_000.0  # silence with calls open after which a ping is sent; 0: never
+    answer_ms: float = 20_000.0  # the connection is closed if the ping is not answered in time
 
     def speaks(self, name: str, flavor: str, dest: int) -> int:
-        """The bits of the protocols that an endpoint takes calls in."""
+        """Returns the protocols of an endpoint as bits: 1 is HTTP/1.1, 2 is gRPC."""
         for speaker in self.speakers:
             if speaker.matches(name, flavor, dest):
                 return 3 if speaker.also_http else 2
--- a/calicohitch/grpc/status.py
+++ b/calicohitch/grpc/status.py
@@ -1,8 +1,8 @@
-"""The one table of what a gRPC call's end means for the decisions. No I/O.
+"""Maps the end of a gRPC call to an outcome for the decision engine. No I/O.
 
-Whether a call may have run decides whether it may be repeated, so every row leans to "may have run" unless the
-protocol proves the contrary. A status that is the endpoint's own word on the call (not found, denied, ...) is its
-answer: it is passed on, and trying again would ask the same question.
+Whether a call may have run decides whether it may be retried, so each status counts as "may have run" unless the
+protocol proves that it did not. A status that is the endpoint's own result for the call (not found, denied, ...) is
+passed on to the client, since a retry would get the same result.
 """
 
 from __future__ import annotations
@@ -38,15 +38,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Meaning:
-    """`answered`: the endpoint's own final word, to be passed on as it is. `outcome` is what the decisions hear;
-    `wait` in milliseconds, for the whole partner system."""
+    """`outcome` goes to the decision engine. `answered`: a final result of the endpoint, passed on unchanged. `wait` is
+    the retry-after time in milliseconds, for the whole partner system."""
 
     outcome: Outcome
     answered: bool = False
     wait: float = 0.0
 
 
-_ANSWERS = frozenset(
+_FINAL_STATUSES = frozenset(
     {
         Status.OK,
         Status.INVALID_ARGUMENT,
@@ -59,31 +59,31 @@
         Status.UNAUTHENTICATED,
     }
 )
-_TELL_TO_WAIT = frozenset({Status.RESOURCE_EXHAUSTED, Status.UNAVAILABLE})
-LONGEST_WAIT_MS = 3_600_000.0
+_RETRY_AFTER_STATUSES = frozenset({Status.RESOURCE_EXHAUSTED, Status.UNAVAILABLE})
+MAX_RETRY_AFTER_MS = 3_600_000.0
 
 
-def meaning(status: Status, begun: bool, pushback: float | None, retry_info: float | None) -> Meaning:
-    """What an end with a status means. `begun`: headers or messages of an answer came before it, so it ran at least
-    in part. `pushback` is `grpc-retry-pushback-ms` (below 0: do not come again), `retry_info` the delay of RetryInfo,
-    both in milliseconds."""
-    if status in _ANSWERS:
+def interpret_status(status: Status, answer_started: bool, pushback: float | None, retry_info: float | None) -> Meaning:
+    """Interprets the final status of a call. `answer_started`: headers or messages of the response came before it, so
+    the call ran at least in part. `pushback` is `grpc-retry-pushback-ms` (below 0: do not retry), `retry_info` the
+    delay of RetryInfo, both in milliseconds."""
+    if status in _FINAL_STATUSES:
         return Meaning(Outcome.OK, answered=True)
-    if status in _TELL_TO_WAIT:
+    if status in _RETRY_AFTER_STATUSES:
         if pushback is not None and pushback < 0:
-            return Meaning(Outcome.ERROR, answered=True)  # the endpoint's word that nobody is to try again
-        told = pushback if pushback is not None else retry_info
-        wait = min(told or 0.0, LONGEST_WAIT_MS)
-        if begun:
+            return Meaning(Outcome.ERROR, answered=True)  # the endpoint forbids retries
+        retry_after = pushback if pushback is not None else retry_info
+        wait = min(retry_after or 0.0, MAX_RETRY_AFTER_MS)
+        if answer_started:
             return Meaning(Outcome.ERROR, wait=wait)
         if wait or status is Status.RESOURCE_EXHAUSTED:
-            return Meaning(Outcome.FULL, wait=wait)  # turned away before anything ran
-        return Meaning(Outcome.ERROR)  # UNAVAILABLE alone proves nothing
+            return Meaning(Outcome.FULL, wait=wait)  # refused before it ran
+        return Meaning(Outcome.ERROR)  # UNAVAILABLE alone does not prove that the call did not run
     return Meaning(Outcome.ERROR)
 
 
-def of_http(code: int) -> Status:
-    """The status of an answer without `grpc-status`, by gRPC's own mapping of HTTP codes."""
+def status_of_http(code: int) -> Status:
+    """Returns the status of a response without `grpc-status`, by the HTTP mapping of the gRPC specification."""
     return {
         400: Status.INTERNAL,
         401: Status.UNAUTHENTICATED,
@@ -96,15 +96,15 @@
     }.get(code, Status.UNKNOWN)
 
 
-def read_status(text: bytes | None) -> Status:
-    """One that cannot be read, or is not known, is UNKNOWN."""
+def parse_status(text: bytes | None) -> Status:
+    """Parses `grpc-status`; a missing, invalid or unassigned value is UNKNOWN."""
     if text is None or not text.isdigit() or len(text) > 3 or int(text) > 16:
         return Status.UNKNOWN
     return Status(int(text))
 
 
-def read_pushback(text: bytes | None) -> float | None:
-    """Milliseconds; by the specification a value that cannot be read means: do not come again."""
+def parse_pushback(text: bytes | None) -> float | None:
+    """Parses milliseconds. By the specification an invalid value means: do not retry, which is -1."""
     if text is None:
         return None
     try:
@@ -113,9 +113,9 @@
         return -1.0
 
 
-def read_retry_info(details: bytes) -> float | None:
-    """Milliseconds of a `google.rpc.RetryInfo` in a `google.rpc.Status`, the value of `grpc-status-details-bin`; None
-    where there is none that can be read."""
+def parse_retry_info(details: bytes) -> float | None:
+    """Parses the delay, in milliseconds, of a `google.rpc.RetryInfo` in a `google.rpc.Status`, the value of
+    `grpc-status-details-bin`. None if there is no valid one."""
     from google.protobuf.message import DecodeError
     from google.rpc import error_details_pb2, status_pb2
 
--- a/tests/grpc_/test_codec.py
+++ b/tests/grpc_/test_codec.py
@@ -18,15 +18,23 @@
     decode_message,
     encode_binary,
     encode_message,
+    encode_timeout,
     frame,
-    metadata,
-    read_request,
-    read_timeout,
-    timeout,
+    forwarded_metadata,
+    parse_request,
+    parse_timeout,
 )
 from calicohitch.grpc.health import answer
 from calicohitch.grpc.routes import Route, Routes, clashes
-from calicohitch.grpc.status import Meaning, Status, meaning, of_http, read_pushback, read_retry_info, read_status
+from calicohitch.grpc.status import (
+    Meaning,
+    Status,
+    interpret_status,
+    status_of_http,
+    parse_pushback,
+    parse_retry_info,
+    parse_status,
+)
 from calicohitch.interface import Outcome
 from calicohitch.journal import Attempt, Entry
 from calicohitch.wire.peer_limits import PeerAction, PeerLimiter
@@ -45,29 +53,29 @@
             (b"0m", 0.0),
         ):
             with self.subTest(text=text):
-                self.assertEqual(read_timeout(text), ms)
+                self.assertEqual(parse_timeout(text), ms)
         for text in (b"", b"m", b"123456789m", b"1", b"1x", b"-1m", b"1.5S", b" 1m", b"1m "):
             with self.subTest(text=text), self.assertRaises(CodecError):
-                read_timeout(text)
+                parse_timeout(text)
 
     @given(st.floats(1e-6, 1e11))
-    def test_a_timeout_is_never_longer_than_what_is_left(self, ms: float) -> None:
-        told = read_timeout(timeout(ms))
-        self.assertLessEqual(told, ms * (1 + 1e-9) + 1e-6)
-        self.assertGreater(told, min(ms * 0.99, 9e12) - 1e-5)
+    def test_an_encoded_timeout_never_exceeds_the_remaining_time(self, ms: float) -> None:
+        parsed = parse_timeout(encode_timeout(ms))
+        self.assertLessEqual(parsed, ms * (1 + 1e-9) + 1e-6)
+        self.assertGreater(parsed, min(ms * 0.99, 9e12) - 1e-5)
 
     @given(st.text())
-    def test_messages_survive(self, text: str) -> None:
+    def test_status_messages_round_trip(self, text: str) -> None:
         encoded = encode_message(text.encode("utf-8", "replace").decode())
         self.assertTrue(all(0x20 <= c <= 0x7E for c in encoded))
         self.assertEqual(decode_message(encoded), text.encode("utf-8", "replace").decode())
 
-    def test_broken_encodings_are_kept(self) -> None:
+    def test_invalid_escapes_are_kept(self) -> None:
         for data, text in ((b"100%", "100%"), (b"%zz", "%zz"), (b"%4", "%4"), (b"%41%", "A%"), (b"%ff", "\ufffd")):
             self.assertEqual(decode_message(data), text)
 
     @given(st.lists(st.binary(max_size=40), max_size=8), st.lists(st.integers(1, 30), max_size=40))
-    def test_messages_are_found_however_the_data_is_cut(self, bodies: list[bytes], cuts: list[int]) -> None:
+    def test_messages_are_found_wherever_the_data_is_split(self, bodies: list[bytes], cuts: list[int]) -> None:
         data, deframer, found = b"".join(frame(body) for body in bodies), Deframer(40), []
         for cut in cuts:
             found += deframer.feed(data[:cut])
@@ -76,7 +84,7 @@
         deframer.end()
         self.assertEqual([message[5:] for message in found], bodies)
 
-    def test_prefixes_that_promise_too_much_or_nothing(self) -> None:
+    def test_invalid_prefixes_and_truncated_messages(self) -> None:
         for data, status in (
             (b"\x00\xff\xff\xff\xff", Status.RESOURCE_EXHAUSTED),
             (b"\x02\x00\x00\x00\x01", Status.INTERNAL),
@@ -105,9 +113,9 @@
             (b"x-y", b"z"),
             (b"traceparent", b"t"),
         ]
-        told = read_request(good)
-        self.assertEqual((told.service, told.method, told.timeout_ms), ("a.B", "C", 5_000.0))
-        self.assertEqual(metadata(good), [(b"content-type", b"application/grpc+proto"), (b"x-y", b"z")])
+        parsed = parse_request(good)
+        self.assertEqual((parsed.service, parsed.method, parsed.timeout_ms), ("a.B", "C", 5_000.0))
+        self.assertEqual(forwarded_metadata(good), [(b"content-type", b"application/grpc+proto"), (b"x-y", b"z")])
         changes: list[tuple[bytes, bytes | None, Status]] = [
             (b":method", b"GET", Status.UNIMPLEMENTED),
             (b":path", b"/a", Status.UNIMPLEMENTED),
@@ -123,11 +131,11 @@
         for name, value, status in changes:
             headers = [(k, v if k != name else value) for k, v in good if k != name or value is not None]
             with self.subTest(name=name, value=value), self.assertRaises(CodecError) as caught:
-                read_request(headers)  # type: ignore[arg-type]
+                parse_request(headers)  # type: ignore[arg-type]
             self.assertIs(caught.exception.status, status)
 
 
-class Table(unittest.TestCase):
+class StatusTable(unittest.TestCase):
     def test_every_row(self) -> None:
         ok, error, full = Meaning(Outcome.OK, answered=True), Meaning(Outcome.ERROR), Meaning(Outcome.FULL)
         answers = {
@@ -142,26 +150,27 @@
             "UNAUTHENTICATED",
         }
         for status in Status:
-            for begun in (False, True):
+            for answer_started in (False, True):
                 if status.name in answers:
                     expected = ok
-                elif status is Status.RESOURCE_EXHAUSTED and not begun:
+                elif status is Status.RESOURCE_EXHAUSTED and not answer_started:
                     expected = full
                 else:
                     expected = error
-                with self.subTest(status=status.name, begun=begun):
-                    self.assertEqual(meaning(status, begun, None, None), expected)
+                with self.subTest(status=status.name, answer_started=answer_started):
+                    self.assertEqual(interpret_status(status, answer_started, None, None), expected)
         for status in (Status.RESOURCE_EXHAUSTED, Status.UNAVAILABLE):
-            told = Meaning(Outcome.FULL, wait=700.0)
-            self.assertEqual(meaning(status, False, 700.0, None), told)
-            self.assertEqual(meaning(status, False, None, 700.0), told)
-            self.assertEqual(meaning(status, False, 700.0, 900.0), told)
-            self.assertEqual(meaning(status, True, 700.0, None), Meaning(Outcome.ERROR, wait=700.0))
-            self.assertEqual(meaning(status, False, -1.0, 700.0), Meaning(Outcome.ERROR, answered=True))
-            self.assertEqual(meaning(status, False, 1e12, None).wait, 3_600_000.0)
-        self.assertEqual(meaning(Status.INTERNAL, False, 700.0, 700.0), error)  # only those two tell to wait
+            refused = Meaning(Outcome.FULL, wait=700.0)
+            self.assertEqual(interpret_status(status, False, 700.0, None), refused)
+            self.assertEqual(interpret_status(status, False, None, 700.0), refused)
+            self.assertEqual(interpret_status(status, False, 700.0, 900.0), refused)
+            self.assertEqual(interpret_status(status, True, 700.0, None), Meaning(Outcome.ERROR, wait=700.0))
+            self.assertEqual(interpret_status(status, False, -1.0, 700.0), Meaning(Outcome.ERROR, answered=True))
+            self.assertEqual(interpret_status(status, False, 1e12, None).wait, 3_600_000.0)
+        # Only those two statuses carry a retry-after.
+        self.assertEqual(interpret_status(Status.INTERNAL, False, 700.0, 700.0), error)
 
-    def test_what_is_read_of_trailers(self) -> None:
+    def test_status_and_pushback_of_trailers(self) -> None:
         for text, status in (
             (b"0", Status.OK),
             (b"16", Status.UNAUTHENTICATED),
@@ -171,7 +180,7 @@
             (None, Status.UNKNOWN),
             (b"-1", Status.UNKNOWN),
         ):
-            self.assertIs(read_status(text), status)
+            self.assertIs(parse_status(text), status)
         for text, wait in (
             (None, None),
             (b"0", 0.0),
@@ -180,37 +189,38 @@
             (b"soon", -1.0),
             (b"9" * 50, -1.0),
         ):
-            self.assertEqual(read_pushback(text), wait)
+            self.assertEqual(parse_pushback(text), wait)
         self.assertEqual(
-            [of_http(code) for code in (404, 503, 200)], [Status.UNIMPLEMENTED, Status.UNAVAILABLE, Status.UNKNOWN]
+            [status_of_http(code) for code in (404, 503, 200)],
+            [Status.UNIMPLEMENTED, Status.UNAVAILABLE, Status.UNKNOWN],
         )
 
     def test_retry_info(self) -> None:
         def details(*messages: Any) -> bytes:
-            told = status_pb2.Status(code=8)
+            status = status_pb2.Status(code=8)
             for message in messages:
                 packed = any_pb2.Any()
                 packed.Pack(message)
-                told.details.append(packed)
-            return bytes(told.SerializeToString())
+                status.details.append(packed)
+            return bytes(status.SerializeToString())
 
         info = error_details_pb2.RetryInfo(retry_delay=duration_pb2.Duration(seconds=1, nanos=500_000_000))
         other = error_details_pb2.ErrorInfo(reason="x")
-        self.assertEqual(read_retry_info(details(other, info)), 1_500.0)
-        self.assertIsNone(read_retry_info(details(other)))
-        self.assertIsNone(read_retry_info(b"\xff\xff\xff"))
-        self.assertIsNone(read_retry_info(b""))
+        self.assertEqual(parse_retry_info(details(other, info)), 1_500.0)
+        self.assertIsNone(parse_retry_info(details(other)))
+        self.assertIsNone(parse_retry_info(b"\xff\xff\xff"))
+        self.assertIsNone(parse_retry_info(b""))
         negative = error_details_pb2.RetryInfo(retry_delay=duration_pb2.Duration(seconds=-1))
-        self.assertIsNone(read_retry_info(details(negative)))
+        self.assertIsNone(parse_retry_info(details(negative)))
 
 
-class Deciding(unittest.TestCase):
+class RoutesLimitsAndHistory(unittest.TestCase):
     def test_routes(self) -> None:
         routes = Routes((Route("a.B", "C", 0, 7), Route("a.B", "*", 1, None, "dest")))
         base = [(b":method", b"POST"), (b"content-type", b"application/grpc")]
 
         def find(path: bytes, *more: tuple[bytes, bytes]) -> Any:
-            return routes.find(read_request([*base, (b":path", path), *more]))
+            return routes.find(parse_request([*base, (b":path", path), *more]))
 
         self.assertEqual((find(b"/a.B/C").dest, find(b"/a.B/C").route.class_index), (7, 0))
         self.assertEqual(find(b"/a.B/D", (b"dest", b"9"), (b"req-id", b"r1")).id, "r1")
@@ -230,15 +240,13 @@
         limiter = PeerLimiter()
         self.assertEqual([limiter.exceeds_limit(PeerAction.PING, 0.0) for _ in range(21)], [False] * 20 + [True])
         fresh = PeerLimiter()
-        self.assertFalse(
-            any(fresh.exceeds_limit(PeerAction.PING, n * 500.0) for n in range(1_000))
-        )  # two a second are allowed without end
+        # Two a second are allowed without end.
+        self.assertFalse(any(fresh.exceeds_limit(PeerAction.PING, n * 500.0) for n in range(1_000)))
         self.assertFalse(any(fresh.exceeds_limit(PeerAction.RESET, 0.0) for _ in range(100)))
-        self.assertTrue(
-            fresh.exceeds_limit(PeerAction.RESET, -5.0)
-        )  # a clock that steps back does not reduce the count
+        # A clock that steps back does not reduce the count.
+        self.assertTrue(fresh.exceeds_limit(PeerAction.RESET, -5.0))
 
-    def test_a_call_is_remembered_as_long_as_it_may_matter(self) -> None:
+    def test_a_call_is_kept_in_the_history_until_it_expires(self) -> None:
         def entry(number: int, deadline: float, *attempts: Attempt) -> Entry:
             return Entry(number, f"e{number}", "orders", 7, deadline, "k", b"x", list(attempts))
 
@@ -256,14 +264,14 @@
         self.assertEqual((len(history), history.expired(99_999.0)), (1, [5]))
 
     def test_health(self) -> None:
-        for body, serving, said in (
+        for body, serving, expected in (
             (b"", True, b"\x08\x01"),
             (frame(b""), False, b"\x08\x02"),
             (frame(b"\x0a\x03a.B"), True, b"\x08\x01"),
             (frame(b"\x0a\x03a.C"), True, None),
             (frame(b"\x0a\xff"), True, b"\x08\x01"),
         ):
-            self.assertEqual(answer(body, {"a.B"}, serving), said)
+            self.assertEqual(answer(body, {"a.B"}, serving), expected)
 
 
 if __name__ == "__main__":
--- a/tests/grpc_/test_mixed.py
+++ b/tests/grpc_/test_mixed.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 and gRPC at one partner system, with faults: every rule is kept over both together."""
+"""HTTP/1.1 and gRPC calls to one partner system, with failures: each rule holds across both protocols."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
 from world import SETTINGS, World, member, play, until
 
 WIDE: dict[str, Any] = SETTINGS | {"family_info": {"call_slots": 12}, "caps": SETTINGS["caps"] | {"open_cap": 400}}
-WAIT_S = 0.4
-DRAIN_S = 0.3  # the grace of a drain, with what sockets take
-ENDS_MS = 50.0  # a message is ended so long before its time is up, at most
+RETRY_AFTER_S = 0.4
+DRAIN_GRACE_S = 0.3  # grace period of a drain, with the time that sockets take
+MAX_REMAINING_MS = 50.0  # a message may end this long before its deadline
 
 
-class Book:
-    """What one partner system sees, whatever the protocol."""
+class EndpointRecord:
+    """The calls that one partner system received, over both protocols."""
 
     def __init__(self, seed: int) -> None:
         self.random, self.lock = random.Random(seed), threading.Lock()
         self.out: set[str] = set()
-        self.twice_out: list[str] = []
+        self.concurrent: list[str] = []
         self.delivered: Counter[str] = Counter()
         self.waits = self.begun = 0
 
     def begin(self, name: str) -> str:
-        """What to do with a call: ok, fail or wait."""
+        """Returns how to answer a call: ok, fail or wait."""
         with self.lock:
             if name in self.out:
-                self.twice_out.append(name)
+                self.concurrent.append(name)
             self.out.add(name)
             self.begun += 1
             drawn = self.random.random()
@@ -54,16 +54,16 @@
                 self.waits += 1
 
 
-class Heard:
-    """What the relay heard of its calls, and when it sent them. A call may be answered while its message's time ends,
-    which is no delivery; and under load an endpoint's thread may begin with a call long after it was sent."""
+class RelayRecord:
+    """The outcomes that the relay saw, and when it sent its calls. A call that is answered as its message's deadline
+    passes is not a delivery; and under load an endpoint's thread may begin a call long after it was sent."""
 
     def __init__(self) -> None:
         self.sent = self.waits = 0
         self.wait_until = 0.0
         self.in_wait: list[str] = []
         self.outcomes: dict[str, list[Outcome]] = defaultdict(list)
-        self.left: dict[str, float] = {}  # milliseconds to the end of a message's time when its last call settled
+        self.remaining_ms: dict[str, float] = {}  # to a message's deadline when its last call settled
 
     def follow(self, relay: Relay) -> None:
         settled, wanted = relay._settled, relay._wanted
@@ -71,13 +71,13 @@
         def look(action: Send, member: Member) -> bool:
             if sends := wanted(action, member):
                 self.sent += 1
-                if relay._clock.now() < self.wait_until - 1.0:  # noted behind the relay's own
+                if relay._clock.now() < self.wait_until - 1.0:  # recorded slightly after the relay's own
                     self.in_wait.append(relay._open[action.message].entry.id)
             return sends
 
         def note(message: Any, attempt: int, endpoint: int, result: Result) -> None:
             self.outcomes[message.entry.id].append(result.outcome)
-            self.left[message.entry.id] = message.entry.deadline - relay._clock.now()
+            self.remaining_ms[message.entry.id] = message.entry.deadline - relay._clock.now()
             self.waits += result.wait > 0
             self.wait_until = max(self.wait_until, relay._clock.now() + result.wait) if result.wait else self.wait_until
             settled(message, attempt, endpoint, result)
@@ -86,16 +86,16 @@
 
 
 class Mixed(unittest.TestCase):
-    def test_every_rule_is_kept_over_both_protocols(self) -> None:
-        book = Book(7)
+    def test_every_rule_holds_across_both_protocols(self) -> None:
+        endpoint_record = EndpointRecord(7)
 
         def handle(messages: Iterator[bytes], context: grpc.ServicerContext) -> Iterator[bytes]:
             name = next(messages).decode()
-            what = book.begin(name)
+            what = endpoint_record.begin(name)
             time.sleep(0.02)
-            book.end(name, what)
+            endpoint_record.end(name, what)
             if what == "wait":
-                context.set_trailing_metadata((("grpc-retry-pushback-ms", str(int(WAIT_S * 1e3))),))
+                context.set_trailing_metadata((("grpc-retry-pushback-ms", str(int(RETRY_AFTER_S * 1e3))),))
                 context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, "busy")
             if what == "fail":
                 context.abort(grpc.StatusCode.INTERNAL, "broken")
@@ -103,11 +103,11 @@
 
         async def deliver(request: Any) -> Any:
             name = request.headers[b"req-id"].decode()
-            what = book.begin(name)
+            what = endpoint_record.begin(name)
             await anyio.sleep(0.02)
-            book.end(name, what)
+            endpoint_record.end(name, what)
             answers: dict[str, Any] = {
-                "wait": (429, {"Wait-Ms": str(int(WAIT_S * 1e3))}, b""),
+                "wait": (429, {"Wait-Ms": str(int(RETRY_AFTER_S * 1e3))}, b""),
                 "fail": (500, {}, b""),
                 "ok": (200, {}, b""),
             }
@@ -117,17 +117,17 @@
             world.endpoint.handle = deliver
             endpoints = [Endpoint(handle), Endpoint(handle)]
             answers: dict[str, list[Any]] = {}
-            heard = Heard()
+            relay_record = RelayRecord()
             try:
                 async with grpc_relay(world, *(e.address for e in endpoints), settings=WIDE) as (relay, front):
-                    heard.follow(relay)
+                    relay_record.follow(relay)
                     client = Client(front)
 
                     async def call(n: int) -> None:
                         name, keyed = f"g{n}", n % 2
                         more = {"idempotency_key": f"k{n}"} if keyed else {}
-                        told = await client.call("Enter" if keyed else "Post", name.encode(), timeout=20, **more)
-                        answers.setdefault(name, []).append(told)
+                        answer = await client.call("Enter" if keyed else "Post", name.encode(), timeout=20, **more)
+                        answers.setdefault(name, []).append(answer)
 
                     async with anyio.create_task_group() as tasks:
                         for n in range(120):
@@ -146,31 +146,31 @@
             finally:
                 for endpoint in endpoints:
                     endpoint.close()
-            self.assertEqual({name: len(told) for name, told in answers.items()}, {f"g{n}": 1 for n in range(120)})
-            for name, (told,) in answers.items():
-                if isinstance(told, grpc.RpcError):
+            self.assertEqual({name: len(answer) for name, answer in answers.items()}, {f"g{n}": 1 for n in range(120)})
+            for name, (answer,) in answers.items():
+                if isinstance(answer, grpc.RpcError):
                     self.assertIn(
-                        told.code(),
+                        answer.code(),
                         (grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.UNKNOWN, grpc.StatusCode.DEADLINE_EXCEEDED),
                         name,
                     )
                 else:
-                    self.assertGreaterEqual(book.delivered[name], 1)
-            self.assertEqual((book.twice_out, heard.in_wait), ([], []))
-            self.assertLessEqual(book.begun, heard.sent)  # no call went round the look before it
-            crossed = sum(outcomes.count(Outcome.TIMEOUT) for outcomes in heard.outcomes.values())
-            self.assertIn(book.waits - heard.waits, range(crossed + 1))
-            self.assertGreater(book.waits, 3)
-            self.assertEqual([at - drained_at for *_, at in endpoints[0].calls if at > drained_at + DRAIN_S], [])
+                    self.assertGreaterEqual(endpoint_record.delivered[name], 1)
+            self.assertEqual((endpoint_record.concurrent, relay_record.in_wait), ([], []))
+            self.assertLessEqual(endpoint_record.begun, relay_record.sent)  # every call passed the check before it
+            crossed = sum(outcomes.count(Outcome.TIMEOUT) for outcomes in relay_record.outcomes.values())
+            self.assertIn(endpoint_record.waits - relay_record.waits, range(crossed + 1))
+            self.assertGreater(endpoint_record.waits, 3)
+            self.assertEqual([at - drained_at for *_, at in endpoints[0].calls if at > drained_at + DRAIN_GRACE_S], [])
             ended = {notice["message"] for notice in world.notices}
             self.assertEqual(len(ended), len(world.notices))
-            for name in (f"h{n}" for n in range(120)):  # delivered, as the relay heard, or ended by its one notice
-                self.assertTrue((heard.outcomes[name][-1:] == [Outcome.OK]) ^ (name in ended), name)
-                self.assertEqual(heard.outcomes[name].count(Outcome.OK), name not in ended, name)
-                answered = book.delivered[name]
-                if name in ended and answered:  # its last call crossed the end of its time, and no other did
-                    self.assertEqual((answered, heard.outcomes[name][-1]), (1, Outcome.TIMEOUT), name)
-                    self.assertLess(heard.left[name], ENDS_MS, name)
+            for name in (f"h{n}" for n in range(120)):  # either delivered, as the relay saw, or ended by its one notice
+                self.assertTrue((relay_record.outcomes[name][-1:] == [Outcome.OK]) ^ (name in ended), name)
+                self.assertEqual(relay_record.outcomes[name].count(Outcome.OK), name not in ended, name)
+                answered = endpoint_record.delivered[name]
+                if name in ended and answered:  # only its last call overlapped its deadline
+                    self.assertEqual((answered, relay_record.outcomes[name][-1]), (1, Outcome.TIMEOUT), name)
+                    self.assertLess(relay_record.remaining_ms[name], MAX_REMAINING_MS, name)
                 elif name not in ended:
                     self.assertEqual(answered, 1, name)
 
--- a/tests/grpc_/test_passing.py
+++ b/tests/grpc_/test_passing.py
@@ -84,12 +84,12 @@
 
                 out: queue.Queue[bytes | None] = queue.Queue()
                 answers = client.method("Chat", "stream_stream")(iter(out.get, None), timeout=10)
-                heard = []
+                received = []
                 out.put(b"echo:a")
                 for n in range(5):
-                    heard.append(next(answers))
+                    received.append(next(answers))
                     out.put(b"m%d" % n if n < 4 else None)
-                return heard
+                return received
 
             self.assertEqual(await client.run(chat), [b"echo:a", b"echo:m0", b"echo:m1", b"echo:m2", b"echo:m3"])
 
@@ -99,19 +99,19 @@
         text = "\t\ntest with whitespace\r\nand Unicode BMP \u263a and non-BMP \U0001f608\t\n"
 
         def handle(messages: Iterator[bytes], context: grpc.ServicerContext) -> Iterator[bytes]:
-            told = dict(context.invocation_metadata())
-            context.send_initial_metadata((("x-initial", told["x-initial"]),))
-            context.set_trailing_metadata((("x-trailing-bin", told["x-trailing-bin"]),))
+            call_metadata = dict(context.invocation_metadata())
+            context.send_initial_metadata((("x-initial", call_metadata["x-initial"]),))
+            context.set_trailing_metadata((("x-trailing-bin", call_metadata["x-trailing-bin"]),))
             body = next(messages)
             if body == b"fail":
                 context.abort(grpc.StatusCode.NOT_FOUND, text)
             yield body
 
         async def test(world: World, relay: Any, client: Client, endpoint: Endpoint) -> None:
-            told = (("x-initial", "one"), ("x-trailing-bin", b"\x00\xab\xff"), ("traceparent", "junk"))
+            call_metadata = (("x-initial", "one"), ("x-trailing-bin", b"\x00\xab\xff"), ("traceparent", "junk"))
 
             def call(body: bytes) -> Any:
-                future = client.method("Post").future(body, timeout=5, metadata=told)
+                future = client.method("Post").future(body, timeout=5, metadata=call_metadata)
                 future.exception()
                 return future
 
@@ -122,7 +122,7 @@
             bad = await client.run(lambda: call(b"fail"))
             self.assertEqual((bad.code(), bad.details()), (grpc.StatusCode.NOT_FOUND, text))
             self.assertEqual(dict(bad.trailing_metadata())["x-trailing-bin"], b"\x00\xab\xff")
-            self.assertEqual(len(endpoint.calls), 2)  # an endpoint's own answer is not asked for again
+            self.assertEqual(len(endpoint.calls), 2)  # a final status of the endpoint is not retried
 
         with_endpoint(handle, test)
 
@@ -136,7 +136,7 @@
 
         with_endpoint(echo, test)
 
-    def test_compressed_messages_pass_as_they_are(self) -> None:
+    def test_compressed_messages_are_forwarded_unchanged(self) -> None:
         async def test(world: World, relay: Any, client: Client, endpoint: Endpoint) -> None:
             def call() -> bytes:
                 answer: bytes = client.method("Post")(b"z" * 100_000, timeout=5, compression=grpc.Compression.Gzip)
@@ -163,7 +163,7 @@
 
         with_endpoint(echo, test, compression=grpc.Compression.Gzip)
 
-    def test_a_load_report_in_the_trailers_reaches_the_decisions(self) -> None:
+    def test_a_load_report_in_the_trailers_reaches_the_decision_engine(self) -> None:
         def loaded(messages: Any, context: Any) -> Any:
             context.set_trailing_metadata((("srv-load", "x0=0.75,x1=3"),))
             yield from echo(messages, context)
@@ -196,22 +196,22 @@
 
         with_endpoint(echo, test)
 
-    def test_the_time_of_a_call_is_carried_on_and_kept(self) -> None:
-        left = []
+    def test_the_timeout_of_a_call_is_forwarded_and_enforced(self) -> None:
+        remaining = []
 
         def slow(messages: Iterator[bytes], context: grpc.ServicerContext) -> Iterator[bytes]:
-            left.append(context.time_remaining())
+            remaining.append(context.time_remaining())
             time.sleep(2.0)
             yield b"late"
 
         async def test(world: World, relay: Any, client: Client, endpoint: Endpoint) -> None:
             began = time.monotonic()
             err = await client.call("Post", timeout=0.6)
-            # On a busy machine the relay's word may be there before the client's own timer: of a safe class it is
-            # that the call may come again.
+            # On a busy machine the relay's answer may arrive before the client's own timer fires: for a safe class
+            # it is UNAVAILABLE, which allows a retry.
             self.assertIn(err.code(), (grpc.StatusCode.DEADLINE_EXCEEDED, grpc.StatusCode.UNAVAILABLE))
             self.assertLess(time.monotonic() - began, 1.5)
-            self.assertLessEqual(left[0], 0.6)
+            self.assertLessEqual(remaining[0], 0.6)
             await until(lambda: relay.idle)
 
         with_endpoint(slow, test)
@@ -242,7 +242,7 @@
 
         with_endpoint(handle, test)
 
-    def test_health_follows_ready_and_stopping(self) -> None:
+    def test_health_reports_ready_and_stopping(self) -> None:
         async def test(world: World, relay: Any, client: Client, endpoint: Endpoint) -> None:
             from functools import partial
 
@@ -264,7 +264,7 @@
 
 
 class Rules(unittest.TestCase):
-    def test_a_stream_that_breaks_half_way_is_told_once_and_not_repeated(self) -> None:
+    def test_a_stream_that_fails_after_its_first_messages_is_not_retried(self) -> None:
         def half(messages: Iterator[bytes], context: grpc.ServicerContext) -> Iterator[bytes]:
             next(messages)
             yield b"one"
@@ -272,26 +272,29 @@
             context.abort(grpc.StatusCode.INTERNAL, "broke off")
 
         async def test(world: World, relay: Any, client: Client, endpoint: Endpoint) -> None:
-            told = (("idempotency-key", "k1"), ("req-id", "e1"))
+            call_metadata = (("idempotency-key", "k1"), ("req-id", "e1"))
 
             def call() -> tuple[list[bytes], Any]:
-                heard, answers = [], client.method("EnterAll", "unary_stream")(b"x", timeout=20, metadata=told)
+                received, answers = (
+                    [],
+                    client.method("EnterAll", "unary_stream")(b"x", timeout=20, metadata=call_metadata),
+                )
                 try:
                     for message in answers:
-                        heard.append(message)
+                        received.append(message)
                 except grpc.RpcError:
                     pass
-                return heard, answers
+                return received, answers
 
-            heard, call_ = await client.run(call)
-            self.assertEqual((heard, call_.code()), ([b"one", b"two"], grpc.StatusCode.INTERNAL))
+            received, call_ = await client.run(call)
+            self.assertEqual((received, call_.code()), ([b"one", b"two"], grpc.StatusCode.INTERNAL))
             self.assertEqual(dict(call_.trailing_metadata())["calicohitch-may-have-run"], "1")
             await anyio.sleep(1.0)
             self.assertEqual(len(endpoint.calls), 1)
 
         with_endpoint(half, test)
 
-    def test_a_told_wait_holds_for_every_protocol(self) -> None:
+    def test_a_retry_after_applies_to_every_protocol(self) -> None:
         tries: list[float] = []
 
         def busy(messages: Iterator[bytes], context: grpc.ServicerContext) -> Iterator[bytes]:
@@ -317,12 +320,12 @@
             self.assertEqual(answers[0][0], b"ok")
             await until(lambda: world.endpoint.requests)
             self.assertGreaterEqual(tries[1] - tries[0], 0.7)
-            # HTTP/1.1 calls to that partner system waited as well.
+            # HTTP/1.1 calls to that partner system were delayed as well.
             self.assertGreaterEqual(time.monotonic() - tries[0], 0.7)
 
         with_endpoint(busy, test)
 
-    def test_what_failed_is_repeated_as_its_class_allows(self) -> None:
+    def test_failed_calls_are_retried_as_their_class_allows(self) -> None:
         def fails_once(messages: Iterator[bytes], context: grpc.ServicerContext) -> Iterator[bytes]:
             body = next(messages)
             seen.append(body)
--- a/tests/grpc_/test_rude.py
+++ b/tests/grpc_/test_rude.py
@@ -1,4 +1,4 @@
-"""Peers that break the rules or bend them, on both sides of the relay, and lives that end in the middle of calls."""
+"""Clients and endpoints that break or strain the protocol, and relays that are killed or stopped with calls open."""
 
 from __future__ import annotations
 
@@ -45,10 +45,10 @@
     play(run)
 
 
-class RudeEndpoints(unittest.TestCase):
+class MisbehavingEndpoints(unittest.TestCase):
     def test_goaway_in_the_middle_of_fifty_streams(self) -> None:
-        """Streams above the last id never ran and are tried again; of those at or below, which are reset, a keyed one
-        may be repeated and one that may not be is not."""
+        """Streams above the last id of a GOAWAY did not run and are retried; those at or below it are answered and must
+        not be."""
         seen: list[tuple[int, int]] = []
         lock = threading.Lock()
 
@@ -79,11 +79,11 @@
             failed = {(a.code(), a.details()) for a in answers if isinstance(a, grpc.RpcError)}
             self.assertEqual(failed, set(), seen)
             self.assertEqual(len([s for n, s in seen if n == 1]), 50)
-            self.assertEqual(len([s for n, s in seen if n > 1]), 20)  # those above, once each
+            self.assertEqual(len([s for n, s in seen if n > 1]), 20)  # those above the last id, once each
 
         with_server(act, test, WIDE)
 
-    def test_refused_streams_are_tried_again_and_broken_ones_as_their_class_allows(self) -> None:
+    def test_refused_streams_are_retried_and_reset_ones_as_their_class_allows(self) -> None:
         count = 0
 
         def act(state: Any, event: h2.events.Event) -> None:
@@ -96,13 +96,13 @@
                     answer(state, event.stream_id or 0)
 
         async def test(world: World, relay: Any, client: Client, server: RawServer) -> None:
-            self.assertEqual((await client.call("Post", timeout=10))[0], b"ok")  # refused, then taken
+            self.assertEqual((await client.call("Post", timeout=10))[0], b"ok")  # refused, then accepted
             self.assertEqual((await client.call("Enter", timeout=20, idempotency_key="k"))[0], b"ok")
             self.assertEqual(count, 4)
 
         with_server(act, test)
 
-    def test_answers_that_are_no_grpc(self) -> None:
+    def test_responses_that_are_not_grpc(self) -> None:
         cases: list[tuple[list[tuple[str, str]], grpc.StatusCode]] = [
             ([(":status", "404")], grpc.StatusCode.UNIMPLEMENTED),
             ([(":status", "200"), ("content-type", "text/html")], grpc.StatusCode.UNKNOWN),
@@ -125,7 +125,7 @@
 
         with_server(act, test)
 
-    def test_an_endpoint_that_never_opens_its_window_holds_one_call_and_nobody_else(self) -> None:
+    def test_an_endpoint_that_never_opens_its_window_blocks_only_its_own_call(self) -> None:
         def act(state: Any, event: h2.events.Event) -> None:
             pass
 
@@ -139,8 +139,8 @@
         with_server(act, test)
 
 
-class RudeClients(unittest.TestCase):
-    def rude(self, act: Callable[[RawClient], Any], codes: tuple[int, ...]) -> None:
+class MisbehavingClients(unittest.TestCase):
+    def check_connection_closed(self, act: Callable[[RawClient], Any], codes: tuple[int, ...]) -> None:
         async def run(world: World) -> None:
             endpoint = Endpoint(echo)
             try:
@@ -152,7 +152,7 @@
                         try:
                             act(rude)
                         except OSError:
-                            pass  # ended in the middle of it
+                            pass  # the relay closed the connection
                         code: int | None = rude.closed()
                         return code
 
@@ -163,7 +163,7 @@
 
                     async with anyio.create_task_group() as tasks:
                         tasks.start_soon(attacking)
-                        for _ in range(5):  # others are unharmed meanwhile
+                        for _ in range(5):  # other clients are not affected
                             answer = await good.call("Post", timeout=8)
                             self.assertNotIsInstance(answer, grpc.RpcError, str(answer)[:300])
                             self.assertEqual(answer[0], b"echo:x")
@@ -180,14 +180,14 @@
             for _ in range(200):
                 rude.sock.sendall(raw_frame(6, 0, 0, b"12345678"))
 
-        self.rude(act, (11, -1))
+        self.check_connection_closed(act, (11, -1))
 
     def test_settings(self) -> None:
         def act(rude: RawClient) -> None:
             for n in range(200):
                 rude.sock.sendall(raw_frame(4, 0, 0, struct.pack(">HI", 4, 1_000 + n)))
 
-        self.rude(act, (11, -1))
+        self.check_connection_closed(act, (11, -1))
 
     def test_streams_opened_and_reset_at_once(self) -> None:
         def act(rude: RawClient) -> None:
@@ -196,7 +196,7 @@
                 rude.state.reset_stream(stream)
                 rude.flush()
 
-        self.rude(act, (11, -1))
+        self.check_connection_closed(act, (11, -1))
 
     def test_tiny_frames(self) -> None:
         def act(rude: RawClient) -> None:
@@ -205,24 +205,24 @@
             for _ in range(100):
                 rude.sock.sendall(raw_frame(0, 0, stream) * 1_000)
 
-        self.rude(act, (11, -1))
+        self.check_connection_closed(act, (11, -1))
 
-    def test_continuation_for_ever(self) -> None:
+    def test_endless_continuation_frames(self) -> None:
         def act(rude: RawClient) -> None:
             rude.sock.sendall(raw_frame(1, 0, 1, b"\x82"))
             for _ in range(5_000):
                 rude.sock.sendall(raw_frame(9, 0, 1, b"\x40\x01a\x01b"))
 
-        self.rude(act, (1, 11, -1))
+        self.check_connection_closed(act, (1, 11, -1))
 
     def test_a_header_list_that_is_too_long(self) -> None:
         def act(rude: RawClient) -> None:
             rude.request("/board.Scores/Post", more=tuple((f"x-{n}", "y" * 400) for n in range(60)))
             rude.flush()
 
-        self.rude(act, (1, 11, -1))
+        self.check_connection_closed(act, (1, 11, -1))
 
-    def test_a_length_prefix_of_four_gigabytes_and_one_that_is_cut(self) -> None:
+    def test_a_length_prefix_of_four_gigabytes_and_a_truncated_message(self) -> None:
         async def run(world: World) -> None:
             endpoint = Endpoint(echo)
             try:
@@ -249,7 +249,7 @@
 
         play(run)
 
-    def test_a_slow_reader_stops_the_endpoint_and_holds_bounded_memory(self) -> None:
+    def test_a_slow_reader_stalls_the_endpoint_with_bounded_memory(self) -> None:
         sent = 0
 
         def flood(messages: Iterator[bytes], context: grpc.ServicerContext) -> Iterator[bytes]:
@@ -269,7 +269,7 @@
                     slow.flush()
                     await until(lambda: sent)
                     await anyio.sleep(1.0)
-                    self.assertLess(sent, 20)  # what windows and buffers hold, and no more
+                    self.assertLess(sent, 20)  # no more than windows and buffers hold
                     slow.sock.close()
                     await until(lambda: relay.idle)
             finally:
@@ -278,21 +278,21 @@
         play(run)
 
 
-class Lives(unittest.TestCase):
+class RestartsAndStops(unittest.TestCase):
     def test_a_kill_with_thirty_calls_open(self) -> None:
-        """Clients come again with their ids: a safe one is repeated, a keyed one inside its window, and each effect at
-        the endpoint stays inside its class's bound."""
+        """The relay is killed and started again, and the clients submit the same ids again: safe calls, and keyed calls
+        inside their key window, are repeated once each."""
         release = threading.Event()
         effects: dict[str, int] = {}
         keys: dict[str, int] = {}
         lock = threading.Lock()
 
         def handle(messages: Iterator[bytes], context: grpc.ServicerContext) -> Iterator[bytes]:
-            told = dict(context.invocation_metadata())
+            call_metadata = dict(context.invocation_metadata())
             body = next(messages)
             with lock:
                 effects[body.decode()] = effects.get(body.decode(), 0) + 1
-                if key := told.get("idempotency-key"):
+                if key := call_metadata.get("idempotency-key"):
                     keys[key] = keys.get(key, 0) + 1
             release.wait(LIMIT)
             yield b"done"
@@ -335,7 +335,8 @@
                 release.set()
                 with ending(await program.start()) as second:
                     await anyio.sleep(0.5)
-                    self.assertEqual(set(effects.values()), {1})  # nobody waits: the next life does not try itself
+                    # No client waits, so the next incarnation does not retry by itself.
+                    self.assertEqual(set(effects.values()), {1})
                     client, answers = Client(front), list[Any]()
                     await calls(client, answers)
                     client.channel.close()
@@ -350,7 +351,7 @@
 
         play(test)
 
-    def test_a_stop_lets_open_calls_end_and_takes_no_new_ones(self) -> None:
+    def test_a_stop_lets_open_calls_end_and_accepts_no_new_ones(self) -> None:
         release = threading.Event()
 
         def handle(messages: Iterator[bytes], _context: Any) -> Iterator[bytes]:
